--- a/soak/executors.py
+++ b/soak/executors.py
@@ -73,7 +73,7 @@
         super().judge_end(executor, task, run, kind)
         if kind is EndKind.DONE:
             self.done_at.setdefault(task, executor.now)
-            self.run_done_at[executor.life, task, run] = executor.now
+            self.run_done_at[executor.incarnation_name, task, run] = executor.now
 
     def judge_acknowledged(self, executor: MemoryExecutor, end: EndedTask) -> None:
         """Judge starts between an end and its acknowledgement.
@@ -81,9 +81,9 @@
         Where the lease was over in between, the end may have been waited out: it does
         not count as taken note of.
         """
-        life = executor.life
-        done_at = self.run_done_at.get((life, end.task, end.run), 0.0)
-        if end.kind is EndKind.DONE and self.lapsed_at.get(life, 0.0) > done_at:
+        incarnation = executor.incarnation_name
+        done_at = self.run_done_at.get((incarnation, end.task, end.run), 0.0)
+        if end.kind is EndKind.DONE and self.lapsed_at.get(incarnation, 0.0) > done_at:
             return
         super().judge_acknowledged(executor, end)
         if end.kind is EndKind.DONE and self.starts[end.task][-1] > done_at:
@@ -93,7 +93,7 @@
         """Note whether the lease of the executor at an address is over."""
         executor = self.executors.get(address)
         if executor and executor.clock >= executor.until:
-            self.lapsed_at[executor.life] = executor.now
+            self.lapsed_at[executor.incarnation_name] = executor.now
 
 
 class ExecutorControl:
--- a/src/linkspan/_typed.py
+++ b/src/linkspan/_typed.py
@@ -39,7 +39,7 @@
     return int(number(value, least=least, most=MOST_WHOLE))
 
 
-def birth(value: Any) -> int | None:
+def parse_started_at_ms(value: Any) -> int | None:
     """Return the birth of a process, ``None`` where it does not stand.
 
     Unlike a size it names something, so nothing is cut off.
--- a/src/linkspan/jobs/crash.py
+++ b/src/linkspan/jobs/crash.py
@@ -15,7 +15,7 @@
     """An executor that crashed under a task.
 
     Attributes:
-        life: Name of the life that ended.
+        incarnation: Name of the life that ended.
         run: Number of the task's run that was there.
         points: What it counts.
         heard: Whether the run is known to have been there: its start was answered, also to a
@@ -24,7 +24,7 @@
         certain: Whether the run cannot have ended before the fall, unheard.
     """
 
-    life: str
+    incarnation: str
     run: int
     points: int
     heard: bool = True
--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -223,8 +223,8 @@
     """Return a loan; earlier versions tell nothing of crashes, later ones may tell more."""
     step, index, number_, crashes, points, *more = [*row, 0, 0][: max(len(row), 5)]
     named = tuple(
-        Crash(text(life), whole(run), whole(counts)).as_known(whole(known))
-        for life, run, counts, known, *_ in map(rows, rows(more[0]) if more else ())
+        Crash(text(incarnation), whole(run), whole(counts)).as_known(whole(known))
+        for incarnation, run, counts, known, *_ in map(rows, rows(more[0]) if more else ())
     )
     name = whole(step), whole(index), whole(number_)
     return Loan(*name, whole(crashes), whole(points), named)
@@ -233,7 +233,7 @@
 def _loan_row(loan: Loan) -> list[Any]:
     """Return a loan's fields; those of crashes are left out where there were none."""
     crashes = [loan.crashes, loan.points] if loan.crashes else []
-    named = [[c.life, c.run, c.points, c.known] for c in loan.named]
+    named = [[c.incarnation, c.run, c.points, c.known] for c in loan.named]
     return [loan.step, loan.index, loan.number, *crashes, *([named] if named else [])]
 
 
--- a/src/linkspan/platform/advice.py
+++ b/src/linkspan/platform/advice.py
@@ -33,7 +33,9 @@
         run = step.run
         name = f"{run.job.job_id}.{run.repetition}.{step.index}"
         # "workers" names executors by their ids, and so does the answer.
-        names = {Incarnation.of(life).executor_id: life for life in executor_ids}
+        names = {
+            Incarnation.of(incarnation).executor_id: incarnation for incarnation in executor_ids
+        }
         body = orjson.dumps({"step": name, "workers": list(names)})
         headers = {"Content-Type": "application/json"}
         request = self._session.post(self._url, data=body, headers=headers)
--- a/src/linkspan/platform/executors.py
+++ b/src/linkspan/platform/executors.py
@@ -8,7 +8,7 @@
 import aiohttp
 import orjson
 
-from linkspan._typed import birth, number, rows, text, whole
+from linkspan._typed import number, parse_started_at_ms, rows, text, whole
 from linkspan.errors import Fenced, Unconnected, Unreachable, WrongIncarnation
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.messages import (
@@ -117,7 +117,7 @@
         if status != 200:
             raise Unreachable(f"executor at {address} answered {status}; it is asked again")
         report = _report(fields)
-        if report.born is None and Incarnation.of(executor_id).born is not None:
+        if report.started_at_ms is None and Incarnation.of(executor_id).started_at_ms is not None:
             raise Unreachable(f"executor at {address} does not tell its birth; it is asked again")
         return report
 
@@ -196,7 +196,7 @@
             running=tuple(_running(rows(row)) for row in rows(fields.get("running"))),
             ended=tuple(_ended(rows(row)) for row in ended),
             whole=len(ended) < ENDS_LISTED,
-            born=birth(fields.get("born")),
+            started_at_ms=parse_started_at_ms(fields.get("born")),
         )
     except (KeyError, TypeError, ValueError, IndexError) as error:
         raise Unreachable(f"executor sent no report: {error!r}; it is asked again") from error
--- a/src/linkspan/platform/records.py
+++ b/src/linkspan/platform/records.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from linkspan._typed import MOST_NUMBER, birth, number, rows, text, whole
+from linkspan._typed import MOST_NUMBER, number, parse_started_at_ms, rows, text, whole
 from linkspan._typed import fields as fields_of
 from linkspan.errors import RecordError
 from linkspan.jobs.spec import Demand
@@ -92,10 +92,10 @@
 
 
 def _incarnation(executor_id: str, fields: dict[str, Any]) -> Incarnation:
-    life = Incarnation(executor_id, birth(fields.get("born")))
-    if Incarnation.of(life.name) != life:
+    incarnation = Incarnation(executor_id, parse_started_at_ms(fields.get("born")))
+    if Incarnation.of(incarnation.name) != incarnation:
         raise ValueError(f"{executor_id!r:.60} is no id")
-    return life
+    return incarnation
 
 
 def _check_unused(fields: dict[str, Any]) -> None:
--- a/src/linkspan/shard/_books.py
+++ b/src/linkspan/shard/_books.py
@@ -40,7 +40,7 @@
 looks and no orders is of no use to it."""
 
 
-MOST_KEPT_LIVES = 64
+MAX_REMEMBERED_INCARNATIONS = 64
 """Lives off the books of which something is kept: a hall has more executors only where hundreds of
 hosts are."""
 
@@ -60,9 +60,9 @@
         count: Takes the name of what is counted.
         tokens: Fencing tokens of the executors' lives.
         executors: Executors that are registered or may run something, by name.
-        lives: The same by id: lives that share one, of which at most one goes on.
+        incarnations_by_id: The same by id: lives that share one, of which at most one goes on.
         held: Ends that are held of lives that left the books, which may be back.
-        entered: How many lives came or went, so that nobody need compare them all.
+        membership_changes: How many lives came or went, so that nobody need compare them all.
         adopting_ids: Inherited executors that have not answered yet.
         settled: How many of the others answered, are gone or outlived their lease.
         jobs: Jobs that the shard looks after, by id.
@@ -103,9 +103,9 @@
         self.count = count
         self.tokens = TenureTokens(token)
         self.executors: dict[str, ExecutorState] = {}
-        self.lives: dict[str, dict[str, ExecutorState]] = {}
+        self.incarnations_by_id: dict[str, dict[str, ExecutorState]] = {}
         self.held: dict[str, set[int]] = {}
-        self.entered = 0
+        self.membership_changes = 0
         self.adopting_ids: set[str] = set()
         self.settled: Counter[str] = Counter()
         self.jobs: dict[str, ShardJob] = {}
@@ -149,15 +149,15 @@
         """Times that the deployment grants."""
         return self._bounds
 
-    def enter(self, executor: ExecutorState) -> None:
+    def add_executor(self, executor: ExecutorState) -> None:
         """Take in a life of an executor."""
         name = executor.executor_id
         self.executors[name] = executor
-        lives = self.lives.setdefault(Incarnation.of(name).executor_id, {})
-        executor.token = self.tokens.of_next(lives.values())
-        lives[name] = executor
+        incarnations = self.incarnations_by_id.setdefault(Incarnation.of(name).executor_id, {})
+        executor.token = self.tokens.of_next(incarnations.values())
+        incarnations[name] = executor
         executor.held |= self.held.pop(name, set())
-        self.entered += 1
+        self.membership_changes += 1
 
     def outdated(self, executor: ExecutorState) -> bool:
         """Whether a next life may have been told a higher token than this one's.
@@ -166,27 +166,27 @@
         """
         if self.executors.get(executor.executor_id) is not executor:
             return True
-        lives = self.lives[Incarnation.of(executor.executor_id).executor_id]
-        return any(other.token > executor.token for other in lives.values())
+        incarnations = self.incarnations_by_id[Incarnation.of(executor.executor_id).executor_id]
+        return any(other.token > executor.token for other in incarnations.values())
 
-    def leave(self, name: str) -> None:
+    def remove_executor(self, name: str) -> None:
         """Let go of a life; what is on it stays for the caller to settle."""
         executor = self.executors.pop(name, None)
         if executor:
             self.tokens.on_end(executor.token)
             self._keep_held(executor)
         executor_id = Incarnation.of(name).executor_id
-        lives = self.lives.get(executor_id, {})
-        lives.pop(name, None)
-        if not lives:
-            self.lives.pop(executor_id, None)
-        self.entered += 1
+        incarnations = self.incarnations_by_id.get(executor_id, {})
+        incarnations.pop(name, None)
+        if not incarnations:
+            self.incarnations_by_id.pop(executor_id, None)
+        self.membership_changes += 1
 
     def _keep_held(self, executor: ExecutorState) -> None:
         """Keep which ends of a life are held: taken for lost, it may only be cut off."""
         if not executor.held:
             return
-        if len(self.held) >= MOST_KEPT_LIVES:
+        if len(self.held) >= MAX_REMEMBERED_INCARNATIONS:
             del self.held[next(iter(self.held))]
         self.held[executor.executor_id] = executor.held
 
@@ -207,19 +207,21 @@
         task = self.find_task(name)
         return next((a for a in task.attempts if a.run == run), None) if task else None
 
-    def recorded_life(self, name: str) -> ExecutorState | None:
+    def recorded_incarnation(self, name: str) -> ExecutorState | None:
         """Return the life that a record names.
 
         Of roster and progress one may be of an earlier version, which knows no births: then it
         is whichever life of that id the other names.
         """
         known = self.executors.get(name)
-        life = Incarnation.of(name)
-        if known or (life.born is not None and life.executor_id in self.executors):
-            return known or self.executors[life.executor_id]
-        if life.born is not None:
+        incarnation = Incarnation.of(name)
+        if known or (
+            incarnation.started_at_ms is not None and incarnation.executor_id in self.executors
+        ):
+            return known or self.executors[incarnation.executor_id]
+        if incarnation.started_at_ms is not None:
             return None
-        return next(iter(self.lives.get(name, {}).values()), None)
+        return next(iter(self.incarnations_by_id.get(name, {}).values()), None)
 
     def takes_work(self, executor: ExecutorState, now: float) -> bool:
         """Whether an executor may get new work.
@@ -365,7 +367,7 @@
         task, job = attempt.task, attempt.task.step.run.job
         if task.done or attempt.copy or job.closing:
             return False
-        if task.suspect and attempt.carried:
+        if task.suspect and attempt.carried_over:
             # It may be what ended the life before: it is placed anew, apart from others.
             return False
         if attempt.found and (len(task.attempts) > 1 or job.advised):
--- a/src/linkspan/shard/attempt.py
+++ b/src/linkspan/shard/attempt.py
@@ -58,7 +58,7 @@
         stop_taken_at: Steady time at which the executor took a stop, if it did.
         listed: Whether the life that it is on has named it: a start that was answered may have come
             to the next one.
-        carried: Whether it came over from a life before, and the one that it counts at has not
+        carried_over: Whether it came over from a life before, and the one that it counts at has not
             named it.
         late_until: Steady time until which a start of it may be on its way that got no answer.
         ticket: Permission of the queue's placement policy; empty without one.
@@ -87,7 +87,7 @@
     stop_sent_at: float = NEVER
     stop_taken_at: float | None = None
     listed: bool = False
-    carried: bool = False
+    carried_over: bool = False
     late_until: float = NEVER
     ticket: str = ""
     starts: int = 1
--- a/src/linkspan/shard/core.py
+++ b/src/linkspan/shard/core.py
@@ -169,7 +169,9 @@
         """
         self._adoption.on_report(executor_id, report, asked=asked, now=now)
 
-    def find_life(self, executor_id: str, name: str, *, asked: float, now: float) -> None:
+    def on_incarnation_found(
+        self, executor_id: str, name: str, *, asked: float, now: float
+    ) -> None:
         """Take in that another life answers under an executor's id: it is asked by its own name.
 
         Args:
--- a/src/linkspan/shard/executor.py
+++ b/src/linkspan/shard/executor.py
@@ -132,9 +132,9 @@
         return self.record.executor_id
 
     @property
-    def unmet(self) -> bool:
+    def is_placeholder(self) -> bool:
         """Whether it stands for an executor's next life, which has not answered yet."""
-        return self.record.unmet
+        return self.record.is_placeholder
 
     @property
     def draining(self) -> bool:
--- a/src/linkspan/shard/failures.py
+++ b/src/linkspan/shard/failures.py
@@ -16,12 +16,12 @@
 
     Attributes:
         run: Its number.
-        life: Name of the executor's life that ran it: owners that do not know of each other, and
-            an order that goes on to a next life, may bring one number about twice.
+        incarnation: Name of the executor's life that ran it: owners that do not know of each other,
+            and an order that goes on to a next life, may bring one number about twice.
     """
 
     run: int
-    life: str
+    incarnation: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     What a record counts without a name may be a run that another member names.
 
     Example:
-        >>> one, other = (Failures(frozenset([FailedRun(1, life)])) for life in "ab")
+        >>> one, other = (Failures(frozenset([FailedRun(1, incarnation)])) for incarnation in "ab")
         >>> gang_failures([one, other])
         1
     """
--- a/src/linkspan/shard/handover/_loans.py
+++ b/src/linkspan/shard/handover/_loans.py
@@ -101,8 +101,8 @@
 def _brought_back(task: Task, loan: Loan) -> Suspicion | None:
     """Return what a loan brings back of crashes, but for those that were none by now."""
     known = as_lent(loan)
-    for life in task.excused:
-        known = known and without(known, life, known.version)
+    for incarnation in task.excused:
+        known = known and without(known, incarnation, known.version)
     task.excused.clear()
     return known
 
--- a/src/linkspan/shard/incarnation.py
+++ b/src/linkspan/shard/incarnation.py
@@ -17,9 +17,9 @@
 
     Attributes:
         executor_id: The id, which another life may have had before.
-        born: When it started, in milliseconds since 1970; ``None`` where that is not known, as
-            on records of earlier versions. It tells lives apart and does not order them: the
-            time of day may step back between two of them.
+        started_at_ms: When it started, in milliseconds since 1970; ``None`` where that is not
+            known, as on records of earlier versions. It tells lives apart and does not order them:
+            the time of day may step back between two of them.
 
     Example:
         >>> Incarnation("i-7", 1700000000123).name
@@ -27,21 +27,25 @@
         >>> Incarnation.of("i-7@1700000000123").executor_id
         'i-7'
         >>> Incarnation.of("i-7")
-        Incarnation(executor_id='i-7', born=None)
+        Incarnation(executor_id='i-7', started_at_ms=None)
     """
 
     executor_id: str
-    born: int | None = None
+    started_at_ms: int | None = None
 
     @property
     def name(self) -> str:
         """The name by which the owner knows this life."""
-        return self.executor_id if self.born is None else f"{self.executor_id}{_BIRTH}{self.born}"
+        return (
+            self.executor_id
+            if self.started_at_ms is None
+            else f"{self.executor_id}{_BIRTH}{self.started_at_ms}"
+        )
 
     @classmethod
     def of(cls, name: str) -> Incarnation:
         """Return the life that a name stands for."""
-        executor_id, mark, born = name.rpartition(_BIRTH)
-        if not mark or not (born.isascii() and born.isdecimal()):
+        executor_id, mark, started_at_ms = name.rpartition(_BIRTH)
+        if not mark or not (started_at_ms.isascii() and started_at_ms.isdecimal()):
             return cls(name)
-        return cls(executor_id, int(born))
+        return cls(executor_id, int(started_at_ms))
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -122,7 +122,7 @@
             task.next_run += INHERITED_RUN_GAP
             self._books.suspect(task, task.suspicion)
             for attempt in list(task.attempts):
-                executor = self._books.recorded_life(attempt.executor_id)
+                executor = self._books.recorded_incarnation(attempt.executor_id)
                 if executor:
                     attempt.executor_id = executor.executor_id
                     executor.add(attempt)
--- a/src/linkspan/shard/leases.py
+++ b/src/linkspan/shard/leases.py
@@ -55,7 +55,7 @@
     return claimed_at + offline_s + lease_s / (1.0 - CLOCK_DRIFT) + LAPSE_MARGIN_S
 
 
-def next_life_lapse(called_at: float, lease_s: float) -> float:
+def next_incarnation_lease_expiry(called_at: float, lease_s: float) -> float:
     """Return when what a next life of an executor may hold has surely ended.
 
     Its clock is not known: whatever lease a call brings is cut there to the longest one.
--- a/src/linkspan/shard/messages.py
+++ b/src/linkspan/shard/messages.py
@@ -46,8 +46,8 @@
         remaining_s: While it drains, the least time until it leaves; else 0.
         confirmed: Whether its newest entry names it; another writer may have put one
             there that does not, and then it gets no new work.
-        unmet: Whether it stands for an executor's next life, which may carry out orders to the one
-            before and has not answered yet.
+        is_placeholder: Whether it stands for an executor's next life, which may carry out orders to
+            the one before and has not answered yet.
         held: Numbers of ends that a former owner held back from acknowledgement.
     """
 
@@ -61,7 +61,7 @@
     draining: bool = False
     remaining_s: float = 0.0
     confirmed: bool = True
-    unmet: bool = False
+    is_placeholder: bool = False
     held: tuple[int, ...] = ()
 
     @property
@@ -171,14 +171,14 @@
         running: Runs at work.
         ended: Ends that are not acknowledged yet, in order.
         whole: Whether it names all runs there, so that a run in neither list is none.
-        born: When the executor that answered started, ``None`` where it does not tell.
+        started_at_ms: When the executor that answered started, ``None`` where it does not tell.
     """
 
     clock_s: float
     running: tuple[RunningTask, ...]
     ended: tuple[EndedTask, ...]
     whole: bool = True
-    born: int | None = None
+    started_at_ms: int | None = None
 
     @property
     def keys(self) -> set[tuple[TaskName, int]]:
--- a/src/linkspan/shard/orders/_orders.py
+++ b/src/linkspan/shard/orders/_orders.py
@@ -88,7 +88,7 @@
             if attempt.phase in (Phase.STARTING, Phase.DOUBT):
                 attempt.phase = Phase.RUNNING
                 attempt.confirmed_at = now
-                attempt.carried = False
+                attempt.carried_over = False
                 self._record_answer(attempt)
                 if attempt.pace < FULL_PACE:
                     # Every run starts at full speed.
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from linkspan._typed import MOST_WHOLE, birth, rows, text, whole
+from linkspan._typed import MOST_WHOLE, parse_started_at_ms, rows, text, whole
 from linkspan.jobs.crash import Crash
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.failures import FailedRun, Failures
@@ -59,7 +59,10 @@
     if not attempts and task.next_run == 1 and not task.failures and not task.loan:
         return 0
     first = [task.next_run, failures, task.checkpoint, attempts, task.loan]
-    failed = [[failed.run, *life_fields(failed.life)] for failed in sorted(task.failed.named)]
+    failed = [
+        [failed.run, *incarnation_fields(failed.incarnation)]
+        for failed in sorted(task.failed.named)
+    ]
     crashes, points, named, put_off = _crash_fields(task.suspicion)
     saved_by = task.saved_by if task.checkpoint else 0
     more = crashes, points, failed, named, put_off, saved_by, _limit_fields(task)
@@ -79,7 +82,7 @@
 
 def _lent_row(task: Task) -> list[Any]:
     first = [-1 - (task.lent or 0), task.loan, task.next_run]
-    excused = [life_fields(life) for life in sorted(task.excused)]
+    excused = [incarnation_fields(incarnation) for incarnation in sorted(task.excused)]
     return [*first, *_without_last(EMPTY_LENT, *_crash_fields(task.suspicion), excused)]
 
 
@@ -100,7 +103,7 @@
     """Return what a record holds of crashes under a task, and of a verdict by them."""
     if known is None:
         return 0, 0, [], 0
-    named = [[c.run, c.points, c.known, *life_fields(c.life)] for c in known.named]
+    named = [[c.run, c.points, c.known, *incarnation_fields(c.incarnation)] for c in known.named]
     return known.crashes, known.points, named, int(known.put_off)
 
 
@@ -139,7 +142,7 @@
     task.loan, task.next_run = whole(loan), whole(next_run, least=1)
     *crashes, excused = _padded(EMPTY_LENT, more)
     task.suspicion = _suspicion(*crashes)
-    task.excused = {life_of(rows(life)) for life in rows(excused)}
+    task.excused = {incarnation_name(rows(incarnation)) for incarnation in rows(excused)}
 
 
 def _padded(empty: tuple[Any, ...], fields: list[Any]) -> list[Any]:
@@ -157,8 +160,8 @@
     if not (whole(crashes) and whole(points)):
         return None
     names = tuple(
-        Crash(life_of(life), whole(run), whole(counts)).as_known(whole(known))
-        for run, counts, known, *life in map(rows, rows(named))
+        Crash(incarnation_name(incarnation), whole(run), whole(counts)).as_known(whole(known))
+        for run, counts, known, *incarnation in map(rows, rows(named))
     )
     return Suspicion(whole(crashes), whole(points), named=names, put_off=whole(put_off) > 0)
 
@@ -171,18 +174,23 @@
         named: Their names, if it tells any: records of earlier versions do not.
         below: Number that is above those of all runs that it counts.
     """
-    names = frozenset(FailedRun(whole(number), life_of(life)) for number, *life in map(rows, named))
+    names = frozenset(
+        FailedRun(whole(number), incarnation_name(incarnation))
+        for number, *incarnation in map(rows, named)
+    )
     return Failures(names, max(count - len(names), 0), below)
 
 
 def _attempt(task: Task, fields: list[Any], now: float) -> Attempt:
     """Return an attempt of a record, which a start may be on its way for."""
     number, *place = fields
-    attempt = Attempt(task, whole(number), life_of(place), Phase.INHERITED, now, found=True)
+    attempt = Attempt(
+        task, whole(number), incarnation_name(place), Phase.INHERITED, now, found=True
+    )
     if len(place) > 2:
         attempt.starts = whole(place[2], least=1)
         attempt.late_until = now + LATE_START_S
-    attempt.carried = len(place) > 3 and whole(place[3]) > 0
+    attempt.carried_over = len(place) > 3 and whole(place[3]) > 0
     return attempt
 
 
@@ -193,19 +201,25 @@
     These stand behind the birth, where earlier versions do not look.
     """
     if not attempt.recorded_starts:
-        return [*life_fields(attempt.executor_id)]
-    life = Incarnation.of(attempt.executor_id)
-    carried = [1] if attempt.carried else []
-    return [life.executor_id, life.born, attempt.recorded_starts, *carried]
+        return [*incarnation_fields(attempt.executor_id)]
+    incarnation = Incarnation.of(attempt.executor_id)
+    carried = [1] if attempt.carried_over else []
+    return [incarnation.executor_id, incarnation.started_at_ms, attempt.recorded_starts, *carried]
 
 
-def life_fields(name: str) -> list[str | int]:
+def incarnation_fields(name: str) -> list[str | int]:
     """Return what a record holds of a life: its id, where earlier versions read one, and birth."""
-    life = Incarnation.of(name)
-    return [life.executor_id] if life.born is None else [life.executor_id, life.born]
+    incarnation = Incarnation.of(name)
+    return (
+        [incarnation.executor_id]
+        if incarnation.started_at_ms is None
+        else [incarnation.executor_id, incarnation.started_at_ms]
+    )
 
 
-def life_of(fields: list[Any]) -> str:
+def incarnation_name(fields: list[Any]) -> str:
     """Return the name of a life that a record holds; one without a birth is some life of its id."""
-    executor_id, *born = fields
-    return Incarnation(text(executor_id), birth(born[0]) if born else None).name
+    executor_id, *started_at_ms = fields
+    return Incarnation(
+        text(executor_id), parse_started_at_ms(started_at_ms[0]) if started_at_ms else None
+    ).name
--- a/src/linkspan/shard/recovery/progress.py
+++ b/src/linkspan/shard/recovery/progress.py
@@ -11,7 +11,12 @@
 from linkspan.jobs.spec import Demand
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.messages import ExecutorRecord
-from linkspan.shard.recovery._task_row import life_fields, life_of, restore_task, step_rows
+from linkspan.shard.recovery._task_row import (
+    incarnation_fields,
+    incarnation_name,
+    restore_task,
+    step_rows,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -112,11 +117,11 @@
 
 def _life_on_roster(executor: ExecutorRecord) -> list[Any]:
     """Return what a roster holds of a life: its birth, and its ends that are held, if any."""
-    if executor.unmet:
+    if executor.is_placeholder:
         return [None]
-    born = life_fields(executor.executor_id)[1:]
+    started_at_ms = incarnation_fields(executor.executor_id)[1:]
     # Where it tells no birth, no next life gets its orders.
-    return [*born, executor.held] if born and executor.held else [*born]
+    return [*started_at_ms, executor.held] if started_at_ms and executor.held else [*started_at_ms]
 
 
 def decode_roster(value: bytes) -> tuple[ExecutorRecord, ...]:
@@ -133,16 +138,18 @@
 
 def _executor(row: list[Any]) -> ExecutorRecord:
     # Later versions may tell more behind it.
-    name, service, address, hall, room, labels, rack, *life = row
+    name, service, address, hall, room, labels, rack, *incarnation = row
     milli_cpu, memory_mb, gpus, *_ = (whole(size) for size in rows(room))
     return ExecutorRecord(
-        life_of([name, *life]),
+        incarnation_name([name, *incarnation]),
         text(service),
         text(address),
         text(hall),
         Demand(milli_cpu, memory_mb, gpus),
         frozenset(text(label) for label in rows(labels)),
         text(rack),
-        unmet=life[:1] == [None],
-        held=tuple(whole(number) for number in rows(life[1])) if len(life) > 1 else (),
+        is_placeholder=incarnation[:1] == [None],
+        held=tuple(whole(number) for number in rows(incarnation[1]))
+        if len(incarnation) > 1
+        else (),
     )
--- a/src/linkspan/shard/reports/_adoption.py
+++ b/src/linkspan/shard/reports/_adoption.py
@@ -110,7 +110,7 @@
             executor.unknown_runs = True
             return
         attempt.listed = True
-        attempt.carried = False
+        attempt.carried_over = False
         if attempt.sent_once and attempt.late_until != NEVER:
             # The only order for it was carried out.
             attempt.late_until = NEVER
@@ -195,7 +195,7 @@
 
         That life refuses it. The next one under its id knows of no stop, and may get the start.
         """
-        may_come_again = Incarnation.of(attempt.executor_id).born is not None
+        may_come_again = Incarnation.of(attempt.executor_id).started_at_ms is not None
         if not may_come_again or attempt.late_until <= now:
             self._books.close(attempt, now)
 
--- a/src/linkspan/shard/reports/_crash_weights.py
+++ b/src/linkspan/shard/reports/_crash_weights.py
@@ -31,7 +31,7 @@
 
 def was_heard(attempt: Attempt) -> bool:
     """Whether a run is known to have been there: its start was answered, by what is on record."""
-    if attempt.carried:
+    if attempt.carried_over:
         return False
     return attempt.confirmed_at != NEVER or (attempt.found and attempt.late_until == NEVER)
 
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -85,40 +85,46 @@
         """Take in that an executor is neither heard nor registered; it may only be cut off."""
         self._on_end(executor, now, "leases ended and no entry", sure=False)
 
-    def on_ends(self, life: str, ended: Iterable[EndedTask]) -> None:
+    def on_ends(self, incarnation: str, ended: Iterable[EndedTask]) -> None:
         """Take in ends that were told by a life that is over: those runs did not crash it."""
         for end in ended:
             task = self._books.find_task(end.task)
-            crash = task.suspicion.crash_of(life) if task and task.suspicion else None
+            crash = task.suspicion.crash_of(incarnation) if task and task.suspicion else None
             if task and crash and crash.run == end.run:
-                self._take_back(task, life)
+                self._take_back(task, incarnation)
 
-    def take_back(self, life: str, reason: str) -> None:
+    def take_back(self, incarnation: str, reason: str) -> None:
         """Take in that the end of a life was no crash: it speaks against nobody, and for nobody.
 
         Args:
-            life: Name of the life.
+            incarnation: Name of the life.
             reason: What tells so, for the log.
         """
-        self._books.falls = [fall for fall in self._books.falls if fall.executor_id != life]
-        tasks = [t for t in self._books.suspects if t.suspicion and t.suspicion.crash_of(life)]
+        self._books.falls = [fall for fall in self._books.falls if fall.executor_id != incarnation]
+        tasks = [
+            t for t in self._books.suspects if t.suspicion and t.suspicion.crash_of(incarnation)
+        ]
         for task in tasks:
-            self._take_back(task, life)
+            self._take_back(task, incarnation)
         if tasks:
             self._books.count("crashes_taken_back")
             names = [short_name(task.name) for task in tasks[:MOST_TOLD]]
             self._books.log(
-                Event.CRASH_TAKEN_BACK, executor=life, reason=reason, runs=len(tasks), tasks=names
+                Event.CRASH_TAKEN_BACK,
+                executor=incarnation,
+                reason=reason,
+                runs=len(tasks),
+                tasks=names,
             )
 
-    def _take_back(self, task: Task, life: str) -> None:
+    def _take_back(self, task: Task, incarnation: str) -> None:
         if task.suspicion:
             run = task.step.run
             self._books.touch(run)
             if task.lent is not None:
                 # The loan was told of it, and brings it back.
-                task.excused.add(life)
-            self._books.suspect(task, without(task.suspicion, life, run.version))
+                task.excused.add(incarnation)
+            self._books.suspect(task, without(task.suspicion, incarnation, run.version))
 
     def _on_end(self, executor: ExecutorState, now: float, proof: str, *, sure: bool) -> None:
         attempts = list(executor.attempts.values()) or executor.lapsed
@@ -231,9 +237,9 @@
 
     def _least_certain(self, known: Suspicion, now: float) -> int:
         """Return how many crashes of a task must be certain for what they count to decide."""
-        lives = {crash.life for crash in known.named}
+        incarnations = {crash.incarnation for crash in known.named}
         others = sum(
-            not fall.tried and fall.executor_id not in lives and now - fall.by < LATELY_S
+            not fall.tried and fall.executor_id not in incarnations and now - fall.by < LATELY_S
             for fall in self._books.falls
         )
         return LEAST_CERTAIN_WHERE_OTHERS_FALL if others >= OFTEN else LEAST_CERTAIN
--- a/src/linkspan/shard/reports/_presence.py
+++ b/src/linkspan/shard/reports/_presence.py
@@ -126,7 +126,7 @@
         if executor is None:
             return
         unsure = [] if since is None else unsure_since(executor, since)
-        if executor.unmet and unsure:
+        if executor.is_placeholder and unsure:
             self._release(executor, now, keep=unsure)
             return
         self._books.log(
@@ -136,7 +136,7 @@
             runs=len(executor.attempts),
             unsure=len(unsure),
         )
-        if not executor.unmet:
+        if not executor.is_placeholder:
             self._crashes.on_gone(executor, now, proof)
         if unsure:
             self._successions.await_next(executor, unsure, now)
@@ -174,17 +174,19 @@
 
         One without a birth is of whichever life of its id answers.
         """
-        if Incarnation.of(record.executor_id).born is not None:
+        if Incarnation.of(record.executor_id).started_at_ms is not None:
             return record
-        lives = self._books.lives.get(record.executor_id, {})
-        met = next((name for name, known in lives.items() if known.adopted), record.executor_id)
+        incarnations = self._books.incarnations_by_id.get(record.executor_id, {})
+        met = next(
+            (name for name, known in incarnations.items() if known.adopted), record.executor_id
+        )
         return replace(record, executor_id=met)
 
     def _add_executor(self, record: ExecutorRecord) -> ExecutorState:
         executor = self._books.executors.get(record.executor_id)
         if executor is None:
             executor = ExecutorState(record)
-            self._books.enter(executor)
+            self._books.add_executor(executor)
         return executor
 
     def _held(self, executor: ExecutorState) -> bool:
@@ -213,12 +215,12 @@
             )
             # A cut looks like a crash until the incarnation is known to be gone.
             executor.lapsed = list(executor.attempts.values())
-        if not executor.listed and not executor.unmet:
+        if not executor.listed and not executor.is_placeholder:
             self._crashes.on_lost(executor, now)
         self._release(executor, now)
         self._books.settle(executor.executor_id, "lapsed")
         if not executor.listed:
-            self._books.leave(executor.executor_id)
+            self._books.remove_executor(executor.executor_id)
 
     def _release(
         self, executor: ExecutorState, now: float, *, keep: Iterable[Attempt] = ()
--- a/src/linkspan/shard/reports/_successions.py
+++ b/src/linkspan/shard/reports/_successions.py
@@ -10,7 +10,7 @@
 from linkspan.shard.attempt import NEVER, Attempt, Phase
 from linkspan.shard.executor import ExecutorState
 from linkspan.shard.incarnation import Incarnation
-from linkspan.shard.leases import next_life_lapse
+from linkspan.shard.leases import next_incarnation_lease_expiry
 
 if TYPE_CHECKING:
     from linkspan.shard._books import ShardBooks
@@ -50,8 +50,8 @@
 
     def end(self, executor: ExecutorState, now: float) -> None:
         """Take a life off the books; what is on it stays for the caller to settle."""
-        self._books.leave(executor.executor_id)
-        if not executor.unmet:
+        self._books.remove_executor(executor.executor_id)
+        if not executor.is_placeholder:
             self._over[executor.executor_id] = now
         self._books.settle(executor.executor_id, "gone")
         self._books.health.forget(executor.executor_id)
@@ -70,8 +70,8 @@
             now: Steady time of the answer.
         """
         name = answering(executor_id, report)
-        lives = self._books.lives.get(Incarnation.of(name).executor_id, {})
-        others = [e for e in lives.values() if e.executor_id != name]
+        incarnations = self._books.incarnations_by_id.get(Incarnation.of(name).executor_id, {})
+        others = [e for e in incarnations.values() if e.executor_id != name]
         if asked <= max([self._over.get(name, NEVER), *(e.reported_at for e in others)]):
             # It may be of a life that ended while this answer was on its way.
             self.pass_over(name, "another life of its id answered since it was asked", now)
@@ -100,8 +100,8 @@
         name = Incarnation.of(executor.executor_id).executor_id
         waiting = self._books.executors.get(name)
         if waiting is None:
-            waiting = self._begin(executor, name, unmet=True)
-        lapses_at = next_life_lapse(now, self._books.bounds.max_lease_s)
+            waiting = self._begin(executor, name, is_placeholder=True)
+        lapses_at = next_incarnation_lease_expiry(now, self._books.bounds.max_lease_s)
         waiting.lapses_at = max(lapses_at, *(a.late_until for a in unsure))
         for attempt in unsure:
             self._move(attempt, executor, waiting, now)
@@ -115,12 +115,16 @@
                 Event.REPORT_PASSED_OVER, executor=executor_id, reason=reason, left_out=left_out
             )
 
-    def _begin(self, known: ExecutorState, name: str, *, unmet: bool = False) -> ExecutorState:
+    def _begin(
+        self, known: ExecutorState, name: str, *, is_placeholder: bool = False
+    ) -> ExecutorState:
         """Take in another life of an executor that is known; its own entry follows."""
-        executor = ExecutorState(replace(known.record, executor_id=name, unmet=unmet))
+        executor = ExecutorState(
+            replace(known.record, executor_id=name, is_placeholder=is_placeholder)
+        )
         executor.listed = False
         self._over.pop(name, None)
-        self._books.enter(executor)
+        self._books.add_executor(executor)
         return executor
 
     def _succeed(
@@ -171,7 +175,7 @@
         former.remove(attempt)
         attempt.executor_id = executor.executor_id
         attempt.listed = False
-        attempt.carried = True
+        attempt.carried_over = True
         attempt.pace_known = False
         attempt.stop_taken_at = None
         executor.add(attempt)
@@ -185,8 +189,8 @@
 def answering(executor_id: str, report: ExecutorReport) -> str:
     """Return the name of the life that answered."""
     asked = Incarnation.of(executor_id)
-    born = asked.born if report.born is None else report.born
-    return Incarnation(asked.executor_id, born).name
+    started_at_ms = asked.started_at_ms if report.started_at_ms is None else report.started_at_ms
+    return Incarnation(asked.executor_id, started_at_ms).name
 
 
 def unsure_since(executor: ExecutorState, since: float) -> list[Attempt]:
@@ -196,7 +200,7 @@
         executor: A life that ended.
         since: Steady time by which what was answered was answered by that life.
     """
-    if Incarnation.of(executor.executor_id).born is None and not executor.unmet:
+    if Incarnation.of(executor.executor_id).started_at_ms is None and not executor.is_placeholder:
         # Where executors tell no birth, none starts again under its id.
         return []
     return [
@@ -206,7 +210,7 @@
         or a.late_until > since
         or (not a.listed and a.confirmed_at >= since)
         # A life that nobody met has not seen our token, which a former owner's start is refused by.
-        or (executor.unmet and a.phase is Phase.INHERITED)
+        or (executor.is_placeholder and a.phase is Phase.INHERITED)
     ]
 
 
@@ -215,8 +219,8 @@
 
     A record without a birth may be of the life that answers.
     """
-    born = Incarnation.of(former.executor_id).born
-    return born is not None and (former.clock is not None or bool(former.attempts))
+    started_at_ms = Incarnation.of(former.executor_id).started_at_ms
+    return started_at_ms is not None and (former.clock is not None or bool(former.attempts))
 
 
 def _may_be_unlisted(attempt: Attempt, report: ExecutorReport, asked: float) -> bool:
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -119,7 +119,7 @@
         """Watch each executor that the core knows, and no other."""
         if self._cancelled:
             return
-        self._entered = self._core.entered
+        self._entered = self._core.membership_changes
         for executor in list(self._watchers.keys() - set(self._core.executors.values())):
             self._end_watch(self._watchers.pop(executor))
         for executor in self._core.executors.values():
@@ -182,7 +182,7 @@
 
     def _follow_lives(self) -> None:
         """Watch a life that was just found, and none that is over."""
-        if self._entered != self._core.entered:
+        if self._entered != self._core.membership_changes:
             self.watch_all()
 
     def _wait_for(self, executor: ExecutorState) -> float:
@@ -224,7 +224,7 @@
         name = answering(executor.executor_id, report)
         if name != executor.executor_id:
             # It has not seen the token that it is to be asked under.
-            self._core.find_life(executor.executor_id, name, asked=asked, now=steady())
+            self._core.on_incarnation_found(executor.executor_id, name, asked=asked, now=steady())
             self._follow_lives()
             return False
         executor.forgotten = max(executor.forgotten, acknowledged)
--- a/src/linkspan/shard/suspicion.py
+++ b/src/linkspan/shard/suspicion.py
@@ -95,9 +95,9 @@
         """Where executors crashed, as far as this owner saw."""
         return frozenset(crash.address for crash in self.named)
 
-    def crash_of(self, life: str) -> Crash | None:
+    def crash_of(self, incarnation: str) -> Crash | None:
         """Return the crash that was the end of a life, if it is among those known by name."""
-        return next((crash for crash in self.named if crash.life == life), None)
+        return next((crash for crash in self.named if crash.incarnation == incarnation), None)
 
     def counts(self, run: int) -> bool:
         """Whether a crash is counted for a run, wherever that was."""
@@ -177,12 +177,12 @@
     """
     if known is None:
         return Suspicion(1, crash.points, version, (crash,))
-    if known.crash_of(crash.life):
+    if known.crash_of(crash.incarnation):
         return known
     doubted = known.unheard_of(crash.run)
     if doubted:
         # The run was at another life, then.
-        return one_more(without(known, doubted.life, version), crash, version, alone=alone)
+        return one_more(without(known, doubted.incarnation, version), crash, version, alone=alone)
     total = known.points + crash.points
     if crash.points == LEAST_POINTS or not alone:
         # A crash that may be another's convicts nobody: others were there each time, too.
@@ -190,15 +190,15 @@
     return Suspicion(known.crashes + 1, total, version, (*known.named, crash))
 
 
-def unnamed(known: Suspicion, life: str, version: int) -> Suspicion:
+def unnamed(known: Suspicion, incarnation: str, version: int) -> Suspicion:
     """Return what is known of a task once a crash that named it names nobody any more.
 
     Args:
         known: What was known before.
-        life: Name of the life that ended by the crash.
+        incarnation: Name of the life that ended by the crash.
         version: Version of its repetition's record that will hold it.
     """
-    crash = known.crash_of(life)
+    crash = known.crash_of(incarnation)
     if crash is None or crash.points == LEAST_POINTS:
         return known
     left = min(known.points - crash.points + LEAST_POINTS, GIVE_UP_POINTS - 1)
@@ -206,15 +206,15 @@
     return replace(known, points=max(left, LEAST_POINTS), version=version, named=named)
 
 
-def without(known: Suspicion, life: str, version: int) -> Suspicion | None:
+def without(known: Suspicion, incarnation: str, version: int) -> Suspicion | None:
     """Return what is known of a task once the end of a life turns out to be no crash.
 
     Args:
         known: What was known before.
-        life: Name of the life.
+        incarnation: Name of the life.
         version: Version of its repetition's record that will hold it.
     """
-    crash = known.crash_of(life)
+    crash = known.crash_of(incarnation)
     if crash is None:
         return known
     if known.crashes == 1:
--- a/tests/attempt_budget.py
+++ b/tests/attempt_budget.py
@@ -40,7 +40,7 @@
 
     def on_failed(self, executor: MemoryExecutor, task: TaskName, run: int) -> None:
         """Take in that a run ended as failed."""
-        self._ended[executor.life, task, run] = world_time()
+        self._ended[executor.incarnation_name, task, run] = world_time()
 
     def on_noted(self, executor: MemoryExecutor, end: EndedTask) -> list[str]:
         """Return the start that a failed end, of which an owner takes note, came before.
@@ -48,9 +48,9 @@
         An end whose executor's lease lapsed before that is taken note of from here on only.
         """
         step = self._judge.step_of(end.task)
-        unit, failed = unit_of(end.task, step), attempt_of(end.run, executor.life, step)
+        unit, failed = unit_of(end.task, step), attempt_of(end.run, executor.incarnation_name, step)
         self._noted[unit].add(failed)
-        ended = self._ended[executor.life, end.task, end.run]
+        ended = self._ended[executor.incarnation_name, end.task, end.run]
         if step.standing or step.speculative or executor.lapsed_at >= ended:
             return []
         in_lease = self._noted_in_lease[unit]
--- a/tests/attempts.py
+++ b/tests/attempts.py
@@ -14,12 +14,12 @@
 
     Attributes:
         run: Its number.
-        life: The executor's life that ran it: owners that do not know of each other may give one
-            number twice. Empty for a gang, whose members run on many.
+        incarnation: The executor's life that ran it: owners that do not know of each other may give
+            one number twice. Empty for a gang, whose members run on many.
     """
 
     run: int
-    life: str
+    incarnation: str
 
 
 def unit_of(task: TaskName, step: StepSpec) -> TaskName:
@@ -27,6 +27,6 @@
     return task._replace(index=0) if step.gang else task
 
 
-def attempt_of(run: int, life: str, step: StepSpec) -> FailedAttempt:
+def attempt_of(run: int, incarnation: str, step: StepSpec) -> FailedAttempt:
     """Return what a failed run counts as."""
-    return FailedAttempt(run, "" if step.gang else life)
+    return FailedAttempt(run, "" if step.gang else incarnation)
--- a/tests/failed_jobs.py
+++ b/tests/failed_jobs.py
@@ -42,7 +42,7 @@
             return
         step = self._judge.step_of(end.task)
         if not step.standing:
-            failed = attempt_of(end.run, executor.life, step)
+            failed = attempt_of(end.run, executor.incarnation_name, step)
             self._listed[unit_of(end.task, step)].add(failed)
 
     def on_shown(self, job_id: str, where: str) -> list[str]:
--- a/tests/fuzz/test_shard_records.py
+++ b/tests/fuzz/test_shard_records.py
@@ -45,7 +45,7 @@
         assert type(task.next_run) is int and task.next_run >= 1
         assert type(task.failures) is int and task.failures >= 0
         for failed in task.failed.named:
-            assert type(failed.run) is int and isinstance(failed.life, str)
+            assert type(failed.run) is int and isinstance(failed.incarnation, str)
         assert type(task.loan) is int and isinstance(task.checkpoint, str)
         assert task.lent is None or (type(task.lent) is int and task.lent >= 0)
         for attempt in task.attempts:
--- a/tests/hall_executors.py
+++ b/tests/hall_executors.py
@@ -98,7 +98,7 @@
             self,
             record,
             slow_clock=slow_clock,
-            born=FIRST_BIRTH_MS + int(now * 1000),
+            started_at_ms=FIRST_BIRTH_MS + int(now * 1000),
             clock_ahead_s=0.0 if clock_s is None else clock_s - now * slow_clock,
         )
         self.executors[address] = executor
@@ -114,7 +114,7 @@
             self.register(executor)
 
     def register(self, executor: MemoryExecutor, *, draining: bool = False) -> None:
-        entry = self.entry_fields(executor.record, draining=draining, born=executor.born)
+        entry = self.entry_fields(executor.record, draining=draining, born=executor.started_at_ms)
         self.enter(executor.record.executor_id, json.dumps(entry).encode())
 
     def entry_fields(
--- a/tests/host/test_entries_of_other_writers.py
+++ b/tests/host/test_entries_of_other_writers.py
@@ -109,7 +109,7 @@
         world.enter_under(b"\xff\xfe", entry(world, first))
         await asyncio.sleep(1.0)
         known = world.hosts[str(world.owner())].host.registry.executors()
-        assert [record.executor_id for record in known] == [first.life]
+        assert [record.executor_id for record in known] == [first.incarnation_name]
         second = world.add_executor("east", "east-9:1")
         await asyncio.sleep(1.0)
         await run_short(world, 20)
--- a/tests/host/test_first_lease.py
+++ b/tests/host/test_first_lease.py
@@ -92,7 +92,7 @@
 def _has_heard(world: HallWorld, host: str, busy: MemoryExecutor) -> bool:
     """Whether a host owns the shard and has an executor's first report."""
     tenure = world.hosts[host].host.candidates[0].tenure
-    known = tenure.core.executors.get(busy.life) if tenure else None
+    known = tenure.core.executors.get(busy.incarnation_name) if tenure else None
     return bool(known and known.adopted)
 
 
--- a/tests/host/test_machine_lists.py
+++ b/tests/host/test_machine_lists.py
@@ -102,7 +102,7 @@
         second.alive = False
         await asyncio.sleep(CRASH_FOUND_S)
         (gone,) = world.log.named("EXECUTOR_GONE")
-        assert gone["executor"] == second.life
+        assert gone["executor"] == second.incarnation_name
         assert gone["proof"] == "machine lists it no more"
         return world
 
--- a/tests/lapses.py
+++ b/tests/lapses.py
@@ -29,6 +29,6 @@
         super().judge_acknowledged(executor, end)
         if end.kind is not EndKind.DONE:
             return
-        if executor.lapsed_at >= self.done_runs_at[executor.life, end.task, end.run]:
+        if executor.lapsed_at >= self.done_runs_at[executor.incarnation_name, end.task, end.run]:
             self.excused += self.broken[before:]
             del self.broken[before:]
--- a/tests/platform/test_births.py
+++ b/tests/platform/test_births.py
@@ -91,7 +91,7 @@
 
 
 async def test_a_report_tells_whose_it_is(called: Called) -> None:
-    assert (await called.look(born=1_700_000_009_000)).born == 1_700_000_009_000
+    assert (await called.look(born=1_700_000_009_000)).started_at_ms == 1_700_000_009_000
 
 
 @pytest.mark.parametrize("born", ODD)
@@ -103,7 +103,7 @@
 async def test_a_report_without_a_birth_is_none_where_one_stood(called: Called) -> None:
     with pytest.raises(Unreachable):
         await called.look()
-    assert (await called.look("i-1")).born is None
+    assert (await called.look("i-1")).started_at_ms is None
 
 
 async def test_calls_name_the_id_alone(called: Called) -> None:
--- a/tests/run_judge.py
+++ b/tests/run_judge.py
@@ -138,7 +138,7 @@
     def judge_end(self, executor: MemoryExecutor, task: TaskName, run: int, kind: EndKind) -> None:
         if kind is EndKind.DONE:
             self.done.add(task)
-            ended = executor.life, task, run
+            ended = executor.incarnation_name, task, run
             self.done_runs_at.setdefault(ended, world_time())
         if kind is EndKind.FAILED:
             self.budget.on_failed(executor, task, run)
@@ -161,7 +161,7 @@
     def judge_acknowledged(self, executor: MemoryExecutor, end: EndedTask) -> None:
         if end.kind is EndKind.DONE:
             self.done_acknowledged.add(end.task)
-            ended = self.done_runs_at[executor.life, end.task, end.run]
+            ended = self.done_runs_at[executor.incarnation_name, end.task, end.run]
             if any(start > ended for start in self.starts[end.task]):
                 self.broken.append(f"{ended:.2f} TWICE {end.task} began again after its end")
         if end.kind is EndKind.FAILED:
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -89,7 +89,9 @@
         core = core_with(step(1, estimate_s=10.0), executors=0)
         run = run_on(core, "e0@1", 2.0)
         row = RunningTask(run.task.name, run.run, "", percent, None)
-        core.on_report("e0@1", ExecutorReport(11.0, (row,), (), born=1), asked=11.0, now=11.0)
+        core.on_report(
+            "e0@1", ExecutorReport(11.0, (row,), (), started_at_ms=1), asked=11.0, now=11.0
+        )
         fall(core, "e0@1", 12.0, 12.1)
         assert known_of(core).certain == certain, percent
 
@@ -229,6 +231,6 @@
     run = run_on(core, "e0@1", 2.0)
     run.found = True
     row = RunningTask(run.task.name, run.run, "", 100, None)
-    core.on_report("e0@1", ExecutorReport(3.0, (row,), (), born=1), asked=3.0, now=3.0)
+    core.on_report("e0@1", ExecutorReport(3.0, (row,), (), started_at_ms=1), asked=3.0, now=3.0)
     fall(core, "e0@1", 4.0, 4.1)
     assert known_of(core).certain == 1
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -166,10 +166,10 @@
     (task,) = core.jobs[JOB].runs[0].tasks()
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 2.0)
-    for born in (2, 3, 4):
-        life = f"e0@{born - 1}"
-        report = ExecutorReport(0.1, (), (), born=born)
-        core.on_report(life, report, asked=2.0 + born, now=2.01 + born)
+    for started_at_ms in (2, 3, 4):
+        incarnation = f"e0@{started_at_ms - 1}"
+        report = ExecutorReport(0.1, (), (), started_at_ms=started_at_ms)
+        core.on_report(incarnation, report, asked=2.0 + started_at_ms, now=2.01 + started_at_ms)
     assert task.suspicion and task.suspicion.crashes == 1
 
 
--- a/tests/shard/test_crashes_on_record.py
+++ b/tests/shard/test_crashes_on_record.py
@@ -89,7 +89,7 @@
     heir = read_by_next_owner(record(core))
     first, _ = heir.jobs[JOB].runs[0].tasks()
     assert first.suspicion and first.suspicion.named == (FELL, CUT_OFF)
-    add_executor(heir, CUT_OFF.life)
+    add_executor(heir, CUT_OFF.incarnation)
     assert first.suspicion == Suspicion(1, 2, version=1)
     assert first.failed.named == {FailedRun(1, "e7")}
 
--- a/tests/shard/test_crashes_that_were_none.py
+++ b/tests/shard/test_crashes_that_were_none.py
@@ -26,9 +26,11 @@
     core.on_gone(name, gone, REPLACED)
 
 
-def empty(core: ShardCore, name: str, born: int, *, asked: float, now: float) -> None:
+def empty(core: ShardCore, name: str, started_at_ms: int, *, asked: float, now: float) -> None:
     """Let a life answer that lists nothing."""
-    core.on_report(name, ExecutorReport(now, (), (), born=born), asked=asked, now=now)
+    core.on_report(
+        name, ExecutorReport(now, (), (), started_at_ms=started_at_ms), asked=asked, now=now
+    )
 
 
 def recorded(core: ShardCore) -> None:
@@ -129,11 +131,11 @@
     empty(core, "e0@1", 2, asked=1.6, now=1.61)
     (run,) = only_task(core).attempts
     row = RunningTask(run.task.name, run.run, "", 0, None)
-    core.on_report("e0@2", ExecutorReport(1.8, (row,), (), born=2), asked=1.7, now=1.8)
+    core.on_report("e0@2", ExecutorReport(1.8, (row,), (), started_at_ms=2), asked=1.7, now=1.8)
     core.on_silent("e0@2", 1.9)
     empty(core, "e0@2", 3, asked=2.0, now=2.1)
     known = only_task(core).suspicion
-    assert known and [crash.life for crash in known.named] == ["e0@2"]
+    assert known and [crash.incarnation for crash in known.named] == ["e0@2"]
 
 
 def test_a_task_that_is_done_before_its_verdict_is_not_given_up() -> None:
--- a/tests/shard/test_facts_that_owners_forget.py
+++ b/tests/shard/test_facts_that_owners_forget.py
@@ -154,8 +154,13 @@
 # Runs that nobody knows to have been there
 
 
-def _empty(core: ShardCore, life: str, born: int, *, asked: float) -> None:
-    core.on_report(life, ExecutorReport(asked, (), (), born=born), asked=asked, now=asked + 0.01)
+def _empty(core: ShardCore, incarnation: str, started_at_ms: int, *, asked: float) -> None:
+    core.on_report(
+        incarnation,
+        ExecutorReport(asked, (), (), started_at_ms=started_at_ms),
+        asked=asked,
+        now=asked + 0.01,
+    )
 
 
 @pytest.mark.parametrize("change", [False, True])
@@ -171,8 +176,8 @@
     if change:
         core = heir_of(core, as_it_was())
         _empty(core, "e0@1", 1, asked=30.5)
-    for born in (2, 3, 4):
-        _empty(core, f"e0@{born - 1}", born, asked=30.0 + born)
+    for started_at_ms in (2, 3, 4):
+        _empty(core, f"e0@{started_at_ms - 1}", started_at_ms, asked=30.0 + started_at_ms)
     known = only_task(core).suspicion
     assert known and (known.crashes, known.heard) == (1, 0)
 
@@ -188,9 +193,9 @@
     core.on_start_unanswered(order, 29.5)
     heir = heir_of(core, as_it_was())
     _empty(heir, "e0@1", 1, asked=30.5)
-    for born in (2, 3, 4, 5, 6):
-        _empty(heir, f"e0@{born - 1}", born, asked=30.0 + born)
-        heir.tick(30.7 + born)
+    for started_at_ms in (2, 3, 4, 5, 6):
+        _empty(heir, f"e0@{started_at_ms - 1}", started_at_ms, asked=30.0 + started_at_ms)
+        heir.tick(30.7 + started_at_ms)
     assert heir.finished == []
 
 
@@ -311,14 +316,14 @@
     (again,) = (o for o in core.orders if isinstance(o, StartOrder))
     started(core, again, 2.2)
     done = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-    core.on_report("e0@1", ExecutorReport(2.3, (), (done,), born=1), asked=2.3, now=2.3)
+    core.on_report("e0@1", ExecutorReport(2.3, (), (done,), started_at_ms=1), asked=2.3, now=2.3)
     record = core.executors["e0@1"].record
     core.on_silent("e0@1", 2.4)
     core.list_executors([], 3.0)
     core.on_silent("e0@1", 10.5)
     assert "e0@1" not in core.executors
     core.list_executors([record], 10.6)
-    core.on_report("e0@1", ExecutorReport(10.7, (), (done,), born=1), asked=10.7, now=10.7)
+    core.on_report("e0@1", ExecutorReport(10.7, (), (done,), started_at_ms=1), asked=10.7, now=10.7)
     run = core.jobs[JOB].runs[0]
     run.durable = run.version
     assert not core.executors["e0@1"].advance_acknowledged(10.8), "held until 14.0"
@@ -337,11 +342,11 @@
     (again,) = (o for o in core.orders if isinstance(o, StartOrder))
     started(core, again, 2.2)
     row = RunningTask(order.task, order.run, "", 0, None)
-    core.on_report("e0@1", ExecutorReport(2.3, (row,), (), born=1), asked=2.3, now=2.3)
-    for born in (2, 3, 4):
-        _empty(core, f"e0@{born - 1}", born, asked=2.0 + born)
+    core.on_report("e0@1", ExecutorReport(2.3, (row,), (), started_at_ms=1), asked=2.3, now=2.3)
+    for started_at_ms in (2, 3, 4):
+        _empty(core, f"e0@{started_at_ms - 1}", started_at_ms, asked=2.0 + started_at_ms)
     known = only_task(core).suspicion
-    assert known and [crash.life for crash in known.named] == ["e0@1"]
+    assert known and [crash.incarnation for crash in known.named] == ["e0@1"]
 
 
 def test_terms_behind_which_a_later_version_tells_more_are_read() -> None:
@@ -368,9 +373,9 @@
     add_executor(core, "e0@1")
     (order,) = plan(core, 29.0)
     core.on_start_unanswered(order, 29.5)
-    for born in (2, 3, 4, 5, 6):
+    for started_at_ms in (2, 3, 4, 5, 6):
         core = heir_of(core, as_it_was())
-        _empty(core, f"e0@{born - 1}", born - 1, asked=30.5)
-        _empty(core, f"e0@{born - 1}", born, asked=31.0)
+        _empty(core, f"e0@{started_at_ms - 1}", started_at_ms - 1, asked=30.5)
+        _empty(core, f"e0@{started_at_ms - 1}", started_at_ms, asked=31.0)
         core.tick(32.0)
         assert core.finished == []
--- a/tests/shard/test_lives.py
+++ b/tests/shard/test_lives.py
@@ -14,7 +14,7 @@
 from linkspan.shard.executor import ExecutorState
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.job_run import new_run
-from linkspan.shard.leases import next_life_lapse
+from linkspan.shard.leases import next_incarnation_lease_expiry
 from linkspan.shard.machines import MachineRecord, MachineState, MachineWatch
 from linkspan.shard.messages import (
     EndedTask,
@@ -36,7 +36,9 @@
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan, started, submitted
 
-FIRST, SECOND, THIRD = (Incarnation("e0", born).name for born in (1_000, 900, 2_000))
+FIRST, SECOND, THIRD = (
+    Incarnation("e0", started_at_ms).name for started_at_ms in (1_000, 900, 2_000)
+)
 """Births do not order lives: the time of day stepped back before the second."""
 
 TASK = TaskName(JOB, 0, 0, 0)
@@ -55,7 +57,7 @@
 def _report(
     core: ShardCore,
     asked_name: str,
-    life: str,
+    incarnation: str,
     *,
     asked: float,
     now: float,
@@ -64,7 +66,9 @@
     ended: tuple[EndedTask, ...] = (),
     whole: bool = True,
 ) -> None:
-    report = ExecutorReport(clock_s, running, ended, whole, Incarnation.of(life).born)
+    report = ExecutorReport(
+        clock_s, running, ended, whole, Incarnation.of(incarnation).started_at_ms
+    )
     core.on_report(asked_name, report, asked=asked, now=now)
 
 
@@ -123,12 +127,12 @@
     core = _core()
     add_executor(core, "e1@5")
     (order,) = plan(core, 1.0)
-    life = order.executor_id
+    incarnation = order.executor_id
     core.on_start_unanswered(order, 1.5)
     core.orders.clear()
-    report = ExecutorReport(0.1, (), (), born=7)
-    core.on_report(life, report, asked=2.0, now=2.01)
-    successor = Incarnation(Incarnation.of(life).executor_id, 7).name
+    report = ExecutorReport(0.1, (), (), started_at_ms=7)
+    core.on_report(incarnation, report, asked=2.0, now=2.01)
+    successor = Incarnation(Incarnation.of(incarnation).executor_id, 7).name
     assert core.orders == [], "the next life is not on record yet"
     core.executors[successor].rostered = True
     core.on_report(successor, replace(report, clock_s=0.2), asked=2.05, now=2.06)
@@ -325,7 +329,7 @@
     core.on_start_unanswered(order, 1.5)
     add_executor(core, "e1@5")
     _gone(core, since=2.0, now=2.5)
-    over = max(next_life_lapse(2.5, LONG_LEASE_S), 1.5 + LATE_START_S)
+    over = max(next_incarnation_lease_expiry(2.5, LONG_LEASE_S), 1.5 + LATE_START_S)
     core.on_silent("e0", over - 0.01)
     assert _replan(core, over - 0.01) == []
     core.on_silent("e0", over)
@@ -419,8 +423,8 @@
     record = _core().executors[FIRST].record
     (row,) = _decoded(encode_roster([record]))
     heir.inherit(decode_roster(_encoded([row[:7] if old == "roster" else row])), until=20.0)
-    life = ["e0"] if old == "progress" else ["e0", 1_000]
-    progress = {0: _encoded([[[2, 0, "", [[1, *life]], 0]]])}
+    incarnation = ["e0"] if old == "progress" else ["e0", 1_000]
+    progress = {0: _encoded([[[2, 0, "", [[1, *incarnation]], 0]]])}
     job = submitted(step(1), job_id=OTHER_JOB)
     heir.add_job(job, 1.0, inherited=True, begun=True, progress=progress)
     (task,) = heir.jobs[OTHER_JOB].runs[0].tasks()
@@ -430,11 +434,11 @@
     assert [a.executor_id for a in task.attempts] == ([SECOND] if listed else [])
 
 
-@pytest.mark.parametrize("birth", ["1000", 1.5, -1, True, [1]])
-def test_an_odd_birth_on_a_roster_is_as_other_odd_fields(birth: object) -> None:
+@pytest.mark.parametrize("started_at_ms", ["1000", 1.5, -1, True, [1]])
+def test_an_odd_birth_on_a_roster_is_as_other_odd_fields(started_at_ms: object) -> None:
     (row,) = _decoded(encode_roster([_core().executors[FIRST].record]))
     with pytest.raises(Exception, match="roster"):
-        decode_roster(_encoded([[*row[:7], birth]]))
+        decode_roster(_encoded([[*row[:7], started_at_ms]]))
 
 
 def _decoded(value: bytes) -> Any:
--- a/tests/shard/test_ownership.py
+++ b/tests/shard/test_ownership.py
@@ -16,8 +16,8 @@
 from linkspan.store.types import Entry
 
 
-def entry(offset: int, act: OwnerAct, host: str, *, token: int = 0, life: str = "") -> Entry:
-    return Entry(offset, OwnerRecord(act, host, life or f"{host}-life", token).encode())
+def entry(offset: int, act: OwnerAct, host: str, *, token: int = 0, incarnation: str = "") -> Entry:
+    return Entry(offset, OwnerRecord(act, host, incarnation or f"{host}-life", token).encode())
 
 
 def view(*, home: bool = True) -> OwnerView:
@@ -67,7 +67,7 @@
 
 def test_an_earlier_life_of_the_own_host_is_replaced_at_once() -> None:
     seen = view()
-    seen.apply(entry(0, OwnerAct.CLAIM, "me", life="earlier"), 0.0)
+    seen.apply(entry(0, OwnerAct.CLAIM, "me", incarnation="earlier"), 0.0)
     assert not seen.mine
     assert seen.should_claim(0.1)
 
@@ -106,7 +106,7 @@
 def test_the_owner_before_an_earlier_life_of_this_host_counts() -> None:
     seen = view()
     seen.apply(entry(9, OwnerAct.CLAIM, "other"), 0.0)
-    seen.apply(entry(10, OwnerAct.CLAIM, "me", life="me-first"), 3.0)
+    seen.apply(entry(10, OwnerAct.CLAIM, "me", incarnation="me-first"), 3.0)
     assert seen.offline_left(4.0) == OFFLINE_S - 4.0
 
 
@@ -119,7 +119,7 @@
 
 def test_an_earlier_life_whose_claim_alone_is_read_may_have_followed_another() -> None:
     seen = view()
-    seen.apply(entry(9, OwnerAct.CLAIM, "me", life="me-first"), 0.0)
+    seen.apply(entry(9, OwnerAct.CLAIM, "me", incarnation="me-first"), 0.0)
     assert seen.offline_left(1.0) == OFFLINE_S - 1.0
 
 
--- a/tests/shard/test_starts_of_former_owners.py
+++ b/tests/shard/test_starts_of_former_owners.py
@@ -23,7 +23,7 @@
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan, started, submitted
 
-FIRST, SECOND = (Incarnation("e0", born).name for born in (1_000, 2_000))
+FIRST, SECOND = (Incarnation("e0", started_at_ms).name for started_at_ms in (1_000, 2_000))
 
 OTHER = Incarnation("e1", 1_000).name
 
@@ -48,12 +48,17 @@
     asked: float,
     listed: bool = False,
     run: int = 1,
-    life: str = FIRST,
+    incarnation: str = FIRST,
 ) -> None:
     """Have a life answer."""
     running = (RunningTask(TASK, run, "", 50, None),) if listed else ()
-    born = Incarnation.of(life).born
-    core.on_report(life, ExecutorReport(asked, running, ended, True, born), asked=asked, now=asked)
+    started_at_ms = Incarnation.of(incarnation).started_at_ms
+    core.on_report(
+        incarnation,
+        ExecutorReport(asked, running, ended, True, started_at_ms),
+        asked=asked,
+        now=asked,
+    )
 
 
 def _sent_again(core: ShardCore) -> None:
@@ -84,11 +89,11 @@
     return _heir(core)
 
 
-def _acknowledges(core: ShardCore, at: float, life: str = FIRST) -> bool:
+def _acknowledges(core: ShardCore, at: float, incarnation: str = FIRST) -> bool:
     """Whether a life may forget an end at a time by which all is on record."""
     for job in core.jobs.values():
         job.runs[0].durable = job.runs[0].version
-    return core.executors[life].advance_acknowledged(at)
+    return core.executors[incarnation].advance_acknowledged(at)
 
 
 def _starts(core: ShardCore) -> list[StartOrder]:
@@ -187,7 +192,7 @@
     heir = _left_unanswered(OTHER)
     for _ in range(owners - 1):
         heir = _heir(heir)
-    _report(heir, asked=3.1, life=OTHER)
+    _report(heir, asked=3.1, incarnation=OTHER)
     _report(heir, asked=3.2)
     assert [(o.executor_id, o.run) for o in plan(heir, 3.3)] == [(FIRST, 1)]
     (attempt,) = heir.jobs[JOB].runs[0].steps[0].tasks[0].attempts
@@ -198,9 +203,9 @@
 
 def test_a_start_of_a_former_owner_goes_on_at_the_next_life() -> None:
     heir = _left_unanswered()
-    _report(heir, asked=3.1, life=SECOND)
+    _report(heir, asked=3.1, incarnation=SECOND)
     heir.executors[SECOND].rostered = True
-    _report(heir, asked=3.2, life=SECOND)
+    _report(heir, asked=3.2, incarnation=SECOND)
     assert [(o.executor_id, o.run) for o in _starts(heir)] == [(SECOND, 1)]
 
 
@@ -210,7 +215,7 @@
     _report(heir, asked=3.1)
     heir.tick(3.2)
     assert _starts(heir) == []
-    _report(heir, asked=3.3, listed=True, run=2, life=OTHER)
+    _report(heir, asked=3.3, listed=True, run=2, incarnation=OTHER)
     heir.tick(3.4)
     assert (_starts(heir), heir.executors[FIRST].attempts) == ([], {})
 
@@ -218,7 +223,7 @@
 def test_a_start_of_a_former_owner_goes_on_once_all_others_have_answered() -> None:
     heir = _left_unanswered(OTHER)
     _report(heir, asked=3.1)
-    _report(heir, asked=3.3, life=OTHER)
+    _report(heir, asked=3.3, incarnation=OTHER)
     heir.tick(3.4)
     assert [(o.executor_id, o.run) for o in _starts(heir)] == [(FIRST, 1)]
 
@@ -255,7 +260,7 @@
     core.place(task, core.executors[OTHER], 1.1, copy=True)
     heir = _heir(core)
     _report(heir, asked=3.1)
-    _report(heir, asked=3.2, life=OTHER)
+    _report(heir, asked=3.2, incarnation=OTHER)
     heir.tick(3.3)
     assert heir.orders == [StopOrder(FIRST, TASK, 1), StopOrder(OTHER, TASK, 2)]
 
@@ -303,7 +308,7 @@
     core = _core()
     _holds(core)
     heir = _heir(core)
-    _report(heir, DONE, asked=3.2, life=SECOND)
+    _report(heir, DONE, asked=3.2, incarnation=SECOND)
     assert _acknowledges(heir, 3.3, SECOND)
 
 
@@ -317,7 +322,7 @@
     (row,) = orjson.loads(roster)
     assert row[7:] == [1_000, [1]]
     (record,) = decode_roster(roster)
-    assert (record.executor_id, record.held, record.unmet) == (FIRST, (1,), False)
+    assert (record.executor_id, record.held, record.is_placeholder) == (FIRST, (1,), False)
 
 
 # Runs that no record names
--- a/tests/shard/test_starts_that_are_stopped.py
+++ b/tests/shard/test_starts_that_are_stopped.py
@@ -20,9 +20,14 @@
     return task
 
 
-def empty(core: ShardCore, life: str, born: int, *, asked: float) -> None:
+def empty(core: ShardCore, incarnation: str, started_at_ms: int, *, asked: float) -> None:
     """Let a life answer that lists nothing."""
-    core.on_report(life, ExecutorReport(asked, (), (), born=born), asked=asked, now=asked + 0.01)
+    core.on_report(
+        incarnation,
+        ExecutorReport(asked, (), (), started_at_ms=started_at_ms),
+        asked=asked,
+        now=asked + 0.01,
+    )
 
 
 def stops(core: ShardCore) -> list[StopOrder]:
--- a/tests/shard/test_tokens.py
+++ b/tests/shard/test_tokens.py
@@ -17,8 +17,10 @@
 FIRST, SECOND = "e0@1000", "e0@2000"
 
 
-def _entry(offset: int, act: OwnerAct, life: str, *, token: int = 0, number: int = 0) -> Entry:
-    record = OwnerRecord(act, life, life, token, number)
+def _entry(
+    offset: int, act: OwnerAct, incarnation: str, *, token: int = 0, number: int = 0
+) -> Entry:
+    record = OwnerRecord(act, incarnation, incarnation, token, number)
     return Entry(offset, record.encode())
 
 
--- a/tests/soak/test_standins.py
+++ b/tests/soak/test_standins.py
@@ -39,20 +39,20 @@
         await world.begin()
         link = world.link("host", 1)
         address, first = next(iter(world.executors.items()))
-        life = first.record.executor_id
+        incarnation = first.record.executor_id
         look = asyncio.create_task(
-            link.renew(address, life, acknowledged=9, until_s=50.0, wait_s=2.0)
+            link.renew(address, incarnation, acknowledged=9, until_s=50.0, wait_s=2.0)
         )
         await asyncio.sleep(0.1)
         world.restart_executor(address, down_s=0.01)
         await asyncio.sleep(0.1)
         spec = world.new_job(step(estimate_s=0.5))
         world.specs[spec.job_id] = spec
-        order = StartOrder(life, TaskName(spec.job_id, 0, 0, 0), 1, spec.payload, "")
+        order = StartOrder(incarnation, TaskName(spec.job_id, 0, 0, 0), 1, spec.payload, "")
         await link.start(address, order, until_s=50.0)
         await asyncio.sleep(3.0)
         assert isinstance(look.exception(), Unreachable)
-        report = await link.renew(address, life, acknowledged=0, until_s=None, wait_s=0.0)
+        report = await link.renew(address, incarnation, acknowledged=0, until_s=None, wait_s=0.0)
         return [end.number for end in report.ended]
 
     assert run_virtual(play()) == [1]
--- a/tests/standins/executor_http.py
+++ b/tests/standins/executor_http.py
@@ -102,4 +102,4 @@
         )
         running = [[task_to_wire(r.task), r.run, "", 100, r.usage] for r in report.running]
         ended = [[e.number, task_to_wire(e.task), e.run, e.kind.value, ""] for e in report.ended]
-        return 200, {"running": running, "ended": ended, "born": report.born}
+        return 200, {"running": running, "ended": ended, "born": report.started_at_ms}
--- a/tests/standins/memory_executor.py
+++ b/tests/standins/memory_executor.py
@@ -56,7 +56,7 @@
     Attributes:
         record: What it says of itself, under the id that it shares with lives before it.
         slow_clock: Speed of its clock.
-        born: When it started, in milliseconds since 1970.
+        started_at_ms: When it started, in milliseconds since 1970.
         clock_ahead_s: What its clock shows beside the time since the world began.
         lapsed_at: Time until which the last lease lasted that a later order found lapsed.
     """
@@ -64,7 +64,7 @@
     world: HallExecutors
     record: ExecutorRecord
     slow_clock: float = 1.0
-    born: int = 0
+    started_at_ms: int = 0
     clock_ahead_s: float = 0.0
     alive: bool = True
     token: int = 0
@@ -87,9 +87,9 @@
         return self.now * self.slow_clock + self.clock_ahead_s
 
     @property
-    def life(self) -> str:
+    def incarnation_name(self) -> str:
         """Name of this life, which no other has."""
-        return Incarnation(self.record.executor_id, self.born).name
+        return Incarnation(self.record.executor_id, self.started_at_ms).name
 
     def resize(self, capacity: Demand, *, known_by: float) -> None:
         """Change the room in all; starts are judged by the one before, too, until it is known."""
@@ -208,7 +208,9 @@
         self.ended = [end for end in self.ended if end.number > acknowledged]
         self.world.judge_listed(self, self.ended)
         running = tuple(self._row(run) for run in self.running.values())
-        return ExecutorReport(self.clock, running, tuple(self.ended), born=self.born)
+        return ExecutorReport(
+            self.clock, running, tuple(self.ended), started_at_ms=self.started_at_ms
+        )
 
     def _row(self, run: _Run) -> RunningTask:
         at_work = self.world.step_of(run.task).standing
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -69,7 +69,7 @@
             self,
             made.record,
             slow_clock=made.slow_clock,
-            born=made.born,
+            started_at_ms=made.started_at_ms,
             clock_ahead_s=made.clock_ahead_s,
         )
         self.executors[address] = executor
