--- a/src/linkspan/jobs/crash.py
+++ b/src/linkspan/jobs/crash.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-HEARD = 1
+CONFIRMED = 1
 """What records hold of a crash whose run is known to have been there; 0 where it is not."""
 
 CERTAIN = 2
@@ -17,8 +17,8 @@
     Attributes:
         incarnation: Name of the life that ended.
         run: Number of the task's run that was there.
-        points: What it counts.
-        heard: Whether the run is known to have been there: its start was answered, also to a
+        score: What it counts.
+        confirmed: Whether the run is known to have been there: its start was answered, also to a
             former owner that recorded this.
         address: Where it was; empty where a former owner saw it.
         certain: Whether the run cannot have ended before the fall, unheard.
@@ -26,18 +26,18 @@
 
     incarnation: str
     run: int
-    points: int
-    heard: bool = True
+    score: int
+    confirmed: bool = True
     address: str = ""
     certain: bool = True
 
     @property
-    def known(self) -> int:
+    def certainty(self) -> int:
         """How surely its run was there, as records hold it."""
-        if not self.heard:
+        if not self.confirmed:
             return 0
-        return CERTAIN if self.certain else HEARD
+        return CERTAIN if self.certain else CONFIRMED
 
-    def as_known(self, known: int) -> Crash:
+    def with_certainty(self, certainty: int) -> Crash:
         """Return the crash with what a record holds of how surely its run was there."""
-        return self._replace(heard=known >= HEARD, certain=known >= CERTAIN)
+        return self._replace(confirmed=certainty >= CONFIRMED, certain=certainty >= CERTAIN)
--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -223,7 +223,7 @@
     """Return a loan; earlier versions tell nothing of crashes, later ones may tell more."""
     step, index, number_, crashes, points, *more = [*row, 0, 0][: max(len(row), 5)]
     named = tuple(
-        Crash(text(incarnation), whole(run), whole(counts)).as_known(whole(known))
+        Crash(text(incarnation), whole(run), whole(counts)).with_certainty(whole(known))
         for incarnation, run, counts, known, *_ in map(rows, rows(more[0]) if more else ())
     )
     name = whole(step), whole(index), whole(number_)
@@ -233,7 +233,7 @@
 def _loan_row(loan: Loan) -> list[Any]:
     """Return a loan's fields; those of crashes are left out where there were none."""
     crashes = [loan.crashes, loan.points] if loan.crashes else []
-    named = [[c.incarnation, c.run, c.points, c.known] for c in loan.named]
+    named = [[c.incarnation, c.run, c.score, c.certainty] for c in loan.named]
     return [loan.step, loan.index, loan.number, *crashes, *([named] if named else [])]
 
 
--- a/src/linkspan/shard/_books.py
+++ b/src/linkspan/shard/_books.py
@@ -27,7 +27,7 @@
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.job_run import JobRun
     from linkspan.shard.messages import TaskName
-    from linkspan.shard.reports._falls import Fall
+    from linkspan.shard.reports._executor_crashes import ExecutorCrash
     from linkspan.shard.shard_job import ShardJob
     from linkspan.shard.step_run import StepRun
     from linkspan.shard.suspicion import Suspicion
@@ -81,7 +81,7 @@
         look_at: Executors to be asked at once.
         holds: How many ends were held back so far, so that nobody need compare them all.
         suspects: Tasks under which executors crashed, as an ordered set.
-        falls: Executors that fell, the newest last.
+        executor_crashes: Executors that fell, the newest last.
         sole_until: Steady time until which no later owner can have claimed the shard. A lease
             that ends by then is over; one that ends after it a later owner may have renewed.
         ready: Steps with tasks that may wait for a start, as an ordered set.
@@ -124,7 +124,7 @@
         self.look_at: set[str] = set()
         self.holds = 0
         self.suspects: dict[Task, None] = {}
-        self.falls: list[Fall] = []
+        self.executor_crashes: list[ExecutorCrash] = []
         self.sole_until = float("inf")
         self.ready: dict[StepRun, None] = {}
 
--- a/src/linkspan/shard/planning/_trials.py
+++ b/src/linkspan/shard/planning/_trials.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from linkspan.shard.reports._falls import falling_addresses
+from linkspan.shard.reports._executor_crashes import crash_prone_addresses
 from linkspan.shard.suspicion import SOON_S
 
 if TYPE_CHECKING:
@@ -66,12 +66,12 @@
         What crashes its executors does so anywhere; where one fell before, it may be at fault
         itself. Where that leaves no executor, all of them count.
         """
-        fell_at = task.suspicion.addresses if task.suspicion else frozenset()
-        fell_at |= falling_addresses(self._core.falls, self._now)
+        crashed_at = task.suspicion.addresses if task.suspicion else frozenset()
+        crashed_at |= crash_prone_addresses(self._core.executor_crashes, self._now)
         fitting = placement.fitting(task)
-        if all(e.record.address in fell_at for e in placement.executors):
+        if all(e.record.address in crashed_at for e in placement.executors):
             return fitting
-        return [e for e in fitting if e.record.address not in fell_at]
+        return [e for e in fitting if e.record.address not in crashed_at]
 
     def reserved(self) -> set[str]:
         """Return the executors that take no other work: the next crash there gives a task up."""
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -103,7 +103,7 @@
     """Return what a record holds of crashes under a task, and of a verdict by them."""
     if known is None:
         return 0, 0, [], 0
-    named = [[c.run, c.points, c.known, *incarnation_fields(c.incarnation)] for c in known.named]
+    named = [[c.run, c.score, c.certainty, *incarnation_fields(c.incarnation)] for c in known.named]
     return known.crashes, known.points, named, int(known.put_off)
 
 
@@ -160,7 +160,7 @@
     if not (whole(crashes) and whole(points)):
         return None
     names = tuple(
-        Crash(incarnation_name(incarnation), whole(run), whole(counts)).as_known(whole(known))
+        Crash(incarnation_name(incarnation), whole(run), whole(counts)).with_certainty(whole(known))
         for run, counts, known, *incarnation in map(rows, rows(named))
     )
     return Suspicion(whole(crashes), whole(points), named=names, put_off=whole(put_off) > 0)
--- a/src/linkspan/shard/reports/_crash_weights.py
+++ b/src/linkspan/shard/reports/_crash_weights.py
@@ -20,13 +20,13 @@
 """Share of its expected length that a run takes at the least: a caller's guess is rough."""
 
 
-def worked_s(attempt: Attempt, fell_at: float) -> float:
+def worked_s(attempt: Attempt, crashed_at: float) -> float:
     """Return how long a run was on its executor when that fell, in seconds.
 
     A start that was not answered may have begun when it was ordered.
     """
     began = attempt.placed_at if attempt.confirmed_at == NEVER else attempt.confirmed_at
-    return max(fell_at - began, 0.0)
+    return max(crashed_at - began, 0.0)
 
 
 def was_heard(attempt: Attempt) -> bool:
@@ -36,22 +36,22 @@
     return attempt.confirmed_at != NEVER or (attempt.found and attempt.late_until == NEVER)
 
 
-def is_certain(attempt: Attempt, fell_at: float) -> bool:
+def is_certain(attempt: Attempt, crashed_at: float) -> bool:
     """Whether a run cannot have ended between its last sign and the fall of its executor.
 
     Args:
         attempt: The run.
-        fell_at: Steady time by which the executor had fallen.
+        crashed_at: Steady time by which the executor had fallen.
     """
     if not was_heard(attempt) or attempt.phase is Phase.STOPPING:
         return False
     length_s = _length_s(attempt)
     if length_s == float("inf"):
         return True
-    if not attempt.found and fell_at - attempt.placed_at < LEAST_SHARE * length_s:
+    if not attempt.found and crashed_at - attempt.placed_at < LEAST_SHARE * length_s:
         return True
     left_s = length_s * (1.0 - attempt.progress / FULL_PROGRESS) if attempt.progress else length_s
-    return fell_at - attempt.progress_at < LEAST_SHARE * left_s
+    return crashed_at - attempt.progress_at < LEAST_SHARE * left_s
 
 
 def counts_unheard(attempt: Attempt) -> bool:
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -24,7 +24,11 @@
     was_heard,
     worked_s,
 )
-from linkspan.shard.reports._falls import LATELY_S, OFTEN, Fall
+from linkspan.shard.reports._executor_crashes import (
+    MIN_REPEATED_CRASHES,
+    RECENT_CRASH_S,
+    ExecutorCrash,
+)
 from linkspan.shard.suspicion import (
     CLEARED_S,
     CRASHES,
@@ -47,10 +51,10 @@
     from linkspan.shard.suspicion import Suspicion
     from linkspan.shard.task import Task
 
-FALLS_KEPT = 64
+MAX_REMEMBERED_CRASHES = 64
 """Falls that are looked back on: a hall has more executors only where hundreds of hosts are."""
 
-COMMON_FALLS = 2
+MIN_SIMULTANEOUS_CRASHES = 2
 """Executors that fell beside one, with no suspect tried there, from which on it convicts nobody: a
 rack or a hall falls by itself. What crashes them falls alone once it is tried apart."""
 
@@ -75,7 +79,7 @@
         self._accused: dict[Task, tuple[Attempt, float]] = {}
 
     def __repr__(self) -> str:
-        return f"Crashes({len(self._books.falls)} falls)"
+        return f"Crashes({len(self._books.executor_crashes)} falls)"
 
     def on_gone(self, executor: ExecutorState, now: float, proof: str) -> None:
         """Take in that an incarnation ended; its attempts are still on the books."""
@@ -100,7 +104,9 @@
             incarnation: Name of the life.
             reason: What tells so, for the log.
         """
-        self._books.falls = [fall for fall in self._books.falls if fall.executor_id != incarnation]
+        self._books.executor_crashes = [
+            fall for fall in self._books.executor_crashes if fall.executor_id != incarnation
+        ]
         tasks = [
             t for t in self._books.suspects if t.suspicion and t.suspicion.crash_of(incarnation)
         ]
@@ -128,51 +134,54 @@
 
     def _on_end(self, executor: ExecutorState, now: float, proof: str, *, sure: bool) -> None:
         attempts = list(executor.attempts.values()) or executor.lapsed
-        fell_at = now if executor.silent_since is None else executor.silent_since
+        crashed_at = now if executor.silent_since is None else executor.silent_since
         if executor.left:
             return
-        fall = _fall(executor, fell_at)
+        fall = _fall(executor, crashed_at)
         beside = self._falls_beside(fall)
         # Also of an idle one: that it fell speaks for what was on those that fell beside it.
-        self._books.falls = [*self._books.falls[1 - FALLS_KEPT :], fall]
-        if not fall.tried:
+        self._books.executor_crashes = [
+            *self._books.executor_crashes[1 - MAX_REMEMBERED_CRASHES :],
+            fall,
+        ]
+        if not fall.had_isolated_task:
             self._excuse(beside)
         if not attempts:
             return
         self._books.count("crashes")
-        by_age = sorted(attempts, key=lambda a: worked_s(a, fell_at))
-        self._log(executor, by_age, fell_at, now, proof=proof, beside=len(beside))
-        untried = sum(not other.tried for other in beside)
+        by_age = sorted(attempts, key=lambda a: worked_s(a, crashed_at))
+        self._log(executor, by_age, crashed_at, now, proof=proof, beside=len(beside))
+        untried = sum(not other.had_isolated_task for other in beside)
         suspects = [a for a in attempts if a.task.suspect]
         named = [a for a in attempts if sure and not untried and stands_out(a, suspects)]
         before = {a.task for a in attempts if a.task.suspicion}
         for attempt in by_age:
-            worked = worked_s(attempt, fell_at)
+            worked = worked_s(attempt, crashed_at)
             crash = Crash(
                 executor.executor_id,
                 attempt.run,
                 points_of(attempt, worked) if attempt in named else LEAST_POINTS,
                 was_heard(attempt),
                 executor.record.address,
-                sure and is_certain(attempt, fell_at),
+                sure and is_certain(attempt, crashed_at),
             )
             self._count(attempt, worked, crash, alone=before <= {attempt.task})
-        fall.named.update(a.task for a in named)
+        fall.blamed_tasks.update(a.task for a in named)
         for attempt in by_age:
-            self._accuse(attempt, now, convicts=untried < COMMON_FALLS)
+            self._accuse(attempt, now, convicts=untried < MIN_SIMULTANEOUS_CRASHES)
 
-    def _excuse(self, beside: Iterable[Fall]) -> None:
+    def _excuse(self, beside: Iterable[ExecutorCrash]) -> None:
         """Take back what falls named, now that another one beside them was found."""
         for other in beside:
-            for task in other.named:
+            for task in other.blamed_tasks:
                 if task.suspicion:
                     run = task.step.run
                     self._books.touch(run)
                     excused = unnamed(task.suspicion, other.executor_id, run.version)
                     self._books.suspect(task, excused)
-            other.named.clear()
+            other.blamed_tasks.clear()
 
-    def _falls_beside(self, fall: Fall) -> list[Fall]:
+    def _falls_beside(self, fall: ExecutorCrash) -> list[ExecutorCrash]:
         """Return the other executors that may have fallen at the same time."""
         silent = (
             _fall(e, e.silent_since)
@@ -181,8 +190,8 @@
         )
         return [
             other
-            for other in (*self._books.falls, *silent)
-            if _id(other) != _id(fall) and fall.may_be_one_with(other)
+            for other in (*self._books.executor_crashes, *silent)
+            if _id(other) != _id(fall) and fall.may_be_simultaneous_with(other)
         ]
 
     def _count(self, attempt: Attempt, worked: float, crash: Crash, *, alone: bool) -> None:
@@ -200,7 +209,7 @@
         if worked >= CLEARED_S:
             self._books.suspect(task, None)
             return
-        if not crash.heard and not counts_unheard(attempt):
+        if not crash.confirmed and not counts_unheard(attempt):
             return
         run = task.step.run
         self._books.touch(run)
@@ -239,10 +248,12 @@
         """Return how many crashes of a task must be certain for what they count to decide."""
         incarnations = {crash.incarnation for crash in known.named}
         others = sum(
-            not fall.tried and fall.executor_id not in incarnations and now - fall.by < LATELY_S
-            for fall in self._books.falls
+            not fall.had_isolated_task
+            and fall.executor_id not in incarnations
+            and now - fall.by < RECENT_CRASH_S
+            for fall in self._books.executor_crashes
         )
-        return LEAST_CERTAIN_WHERE_OTHERS_FALL if others >= OFTEN else LEAST_CERTAIN
+        return LEAST_CERTAIN_WHERE_OTHERS_FALL if others >= MIN_REPEATED_CRASHES else LEAST_CERTAIN
 
     def _give_up(self, attempt: Attempt, now: float) -> None:
         task = attempt.task
@@ -270,41 +281,41 @@
         self,
         executor: ExecutorState,
         by_age: Iterable[Attempt],
-        fell_at: float,
+        crashed_at: float,
         now: float,
         *,
         proof: str,
         beside: int,
     ) -> None:
-        tasks = {_name(a): _told(a, fell_at) for a in by_age}
+        tasks = {_name(a): _told(a, crashed_at) for a in by_age}
         self._books.log(
             Event.EXECUTOR_CRASHED,
             executor=executor.executor_id,
             address=executor.record.address,
             proof=proof,
-            fell_s=round(now - fell_at, 3),
+            fell_s=round(now - crashed_at, 3),
             fell_beside=beside,
             runs=len(tasks),
             tasks=dict(list(tasks.items())[:MOST_TOLD]),
         )
 
 
-def _fall(executor: ExecutorState, by: float) -> Fall:
+def _fall(executor: ExecutorState, by: float) -> ExecutorCrash:
     heard_at = executor.clock.heard_at if executor.clock else NEVER
     # Starts are answered, too, if not by whom.
     after = max([heard_at, *(a.confirmed_at for a in executor.attempts.values())])
     tried = any(attempt.apart for attempt in executor.attempts.values())
-    return Fall(executor.executor_id, executor.record.address, after, by, tried, set())
+    return ExecutorCrash(executor.executor_id, executor.record.address, after, by, tried, set())
 
 
-def _told(attempt: Attempt, fell_at: float) -> list[float]:
+def _told(attempt: Attempt, crashed_at: float) -> list[float]:
     """Return how long a run was there, and the crashes under its task before and their points."""
     known = attempt.task.suspicion
     before = [known.crashes, known.points] if known else [0, 0]
-    return [round(worked_s(attempt, fell_at), 3), *before]
+    return [round(worked_s(attempt, crashed_at), 3), *before]
 
 
-def _id(fall: Fall) -> str:
+def _id(fall: ExecutorCrash) -> str:
     """Return the id of an executor that fell; two of its lives never fall at the same time."""
     return Incarnation.of(fall.executor_id).executor_id
 
--- a/src/linkspan/shard/suspicion.py
+++ b/src/linkspan/shard/suspicion.py
@@ -105,17 +105,17 @@
 
     def unheard_of(self, run: int) -> Crash | None:
         """Return the crash that is counted for a run that may not have been there."""
-        return next((c for c in self.named if c.run == run and not c.heard), None)
+        return next((c for c in self.named if c.run == run and not c.confirmed), None)
 
     @property
     def heard(self) -> int:
         """How many crashed under a run that is known to have been there."""
-        return self.crashes - sum(not crash.heard for crash in self.named)
+        return self.crashes - sum(not crash.confirmed for crash in self.named)
 
     @property
     def certain(self) -> int:
         """How many crashed under a run that cannot have ended before."""
-        return self.crashes - sum(crash.known < CERTAIN for crash in self.named)
+        return self.crashes - sum(crash.certainty < CERTAIN for crash in self.named)
 
     @property
     def apart(self) -> bool:
@@ -176,15 +176,15 @@
         alone: Whether no other task was there under which an executor had crashed before.
     """
     if known is None:
-        return Suspicion(1, crash.points, version, (crash,))
+        return Suspicion(1, crash.score, version, (crash,))
     if known.crash_of(crash.incarnation):
         return known
     doubted = known.unheard_of(crash.run)
     if doubted:
         # The run was at another life, then.
         return one_more(without(known, doubted.incarnation, version), crash, version, alone=alone)
-    total = known.points + crash.points
-    if crash.points == LEAST_POINTS or not alone:
+    total = known.points + crash.score
+    if crash.score == LEAST_POINTS or not alone:
         # A crash that may be another's convicts nobody: others were there each time, too.
         total = min(total, GIVE_UP_POINTS - 1)
     return Suspicion(known.crashes + 1, total, version, (*known.named, crash))
@@ -199,10 +199,10 @@
         version: Version of its repetition's record that will hold it.
     """
     crash = known.crash_of(incarnation)
-    if crash is None or crash.points == LEAST_POINTS:
+    if crash is None or crash.score == LEAST_POINTS:
         return known
-    left = min(known.points - crash.points + LEAST_POINTS, GIVE_UP_POINTS - 1)
-    named = tuple(c._replace(points=LEAST_POINTS) if c is crash else c for c in known.named)
+    left = min(known.points - crash.score + LEAST_POINTS, GIVE_UP_POINTS - 1)
+    named = tuple(c._replace(score=LEAST_POINTS) if c is crash else c for c in known.named)
     return replace(known, points=max(left, LEAST_POINTS), version=version, named=named)
 
 
@@ -220,6 +220,6 @@
     if known.crashes == 1:
         return None
     crashes = known.crashes - 1
-    points = max(known.points - crash.points, LEAST_POINTS * min(crashes, MOST_CRASHES - 1))
+    points = max(known.points - crash.score, LEAST_POINTS * min(crashes, MOST_CRASHES - 1))
     named = tuple(other for other in known.named if other is not crash)
     return Suspicion(crashes, min(points, GIVE_UP_POINTS - 1), version, named)
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -153,7 +153,7 @@
 
 def test_a_next_owner_and_another_hall_know_which_crashes_are_certain() -> None:
     """Guards against a doubt that is taken for certain by whoever goes on with the count."""
-    named = (UNSURE, Crash("e8@1", 2, 4), Crash("e7@1", 3, 2, heard=False))
+    named = (UNSURE, Crash("e8@1", 2, 4), Crash("e7@1", 3, 2, confirmed=False))
     core = core_with(step(1))
     task = only_task(core)
     task.next_run = 5
@@ -162,21 +162,21 @@
     restore_run(run, encode_run(core.jobs[JOB].runs[0]), 0.0)
     (restored,) = run.tasks()
     assert restored.suspicion
-    assert [c.known for c in restored.suspicion.named] == [1, 2, 0]
+    assert [c.certainty for c in restored.suspicion.named] == [1, 2, 0]
     read = decode(*encode(Lent(JOB, 1, (Loan(0, 0, 1, 3, 10, named),))))
     assert isinstance(read, Lent)
-    assert [c.known for c in read.loans[0].named] == [1, 2, 0]
+    assert [c.certainty for c in read.loans[0].named] == [1, 2, 0]
 
 
 def test_a_start_on_record_without_an_answer_is_no_run_that_was_heard_of() -> None:
     """Guards against a doubt of a former owner that counts as a crash for certain."""
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
-    assert not known_after_fall(core).named[0].heard
+    assert not known_after_fall(core).named[0].confirmed
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
     started(core, order, 1.1)
-    assert known_after_fall(core).named[0].heard
+    assert known_after_fall(core).named[0].confirmed
 
 
 def known_after_fall(core: ShardCore) -> Suspicion:
@@ -214,7 +214,8 @@
     and may have ended, three starts had no answer. All tasks of the job had ended well.
     """
     named = tuple(
-        Crash(f"e{number}@1", number, 2, heard=number < 3, certain=False) for number in range(1, 6)
+        Crash(f"e{number}@1", number, 2, confirmed=number < 3, certain=False)
+        for number in range(1, 6)
     )
     known = Suspicion(5, 7, named=named)
     assert known.convicted, "where nothing else falls, nothing else explains it"
--- a/tests/shard/test_crashes_on_record.py
+++ b/tests/shard/test_crashes_on_record.py
@@ -113,7 +113,7 @@
 
 def test_the_next_owner_knows_which_run_nobody_knows_to_have_been_there() -> None:
     """Guards against a task that one owner spared and the next, or a borrower, gives up."""
-    doubted = FELL._replace(heard=False)
+    doubted = FELL._replace(confirmed=False)
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
     first.next_run, second.lent, second.loan = 6, 1, 2
--- a/tests/shard/test_crashes_that_were_none.py
+++ b/tests/shard/test_crashes_that_were_none.py
@@ -104,7 +104,7 @@
     assert only_task(core).suspicion
     core.list_executors([replace(record, draining=True, remaining_s=1.0)], 57.5)
     assert only_task(core).suspicion is None
-    assert core.falls == [], "and it speaks for no other task, nor against its address"
+    assert core.executor_crashes == [], "and it speaks for no other task, nor against its address"
 
 
 def test_an_executor_that_was_cut_off_and_answers_again_has_not_crashed() -> None:
@@ -120,7 +120,7 @@
     core.list_executors([record], 41.0)
     core.on_report("e0", ExecutorReport(41.2, (), ()), asked=41.1, now=41.2)
     assert only_task(core).suspicion is None
-    assert core.falls == []
+    assert core.executor_crashes == []
 
 
 def test_a_run_that_was_at_the_next_life_counts_there_alone() -> None:
--- a/tests/shard/test_facts_that_owners_forget.py
+++ b/tests/shard/test_facts_that_owners_forget.py
@@ -203,7 +203,7 @@
     """Guards against a planned leave that counts as a crash again once the task comes back."""
     core = core_with(step(1, standing=True), executors=1)
     _fall_under(core, "e0", 20.0)
-    known = core.falls[-1]
+    known = core.executor_crashes[-1]
     assert only_task(core).suspicion
     core.give_away(JOB, 1, [(0, 0)])
     ((lent,),) = core.loans(JOB).values()
