--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -232,8 +232,8 @@
 
 def _loan_row(loan: Loan) -> list[Any]:
     """Return a loan's fields; those of crashes are left out where there were none."""
-    crashes = [loan.crashes, loan.points] if loan.crashes else []
-    named = [[c.incarnation, c.run, c.score, c.certainty] for c in loan.named]
+    crashes = [loan.crash_count, loan.crash_score] if loan.crash_count else []
+    named = [[c.incarnation, c.run, c.score, c.certainty] for c in loan.identified_crashes]
     return [loan.step, loan.index, loan.number, *crashes, *([named] if named else [])]
 
 
--- a/src/linkspan/jobs/records.py
+++ b/src/linkspan/jobs/records.py
@@ -73,18 +73,18 @@
         step: Number of the step.
         index: Number of the task in the step.
         number: Counts the loans of this task, from 1.
-        crashes: Executors that had crashed under it when it was lent, or given back; what it
+        crash_count: Executors that had crashed under it when it was lent, or given back; what it
             may still take down is bounded over all halls. No part of what names the loan.
-        points: What these count.
-        named: Those of the crashes that are known by name.
+        crash_score: What these count.
+        identified_crashes: Those of the crashes that are known by name.
     """
 
     step: int
     index: int
     number: int
-    crashes: int = field(default=0, compare=False)
-    points: int = field(default=0, compare=False)
-    named: tuple[Crash, ...] = field(default=(), compare=False)
+    crash_count: int = field(default=0, compare=False)
+    crash_score: int = field(default=0, compare=False)
+    identified_crashes: tuple[Crash, ...] = field(default=(), compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/linkspan/shard/_books.py
+++ b/src/linkspan/shard/_books.py
@@ -24,13 +24,13 @@
     from linkspan.model.configuration import Configuration
     from linkspan.model.settings import Bounds
     from linkspan.shard.attempt import Attempt
+    from linkspan.shard.crash_history import CrashHistory
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.job_run import JobRun
     from linkspan.shard.messages import TaskName
     from linkspan.shard.reports._executor_crashes import ExecutorCrash
     from linkspan.shard.shard_job import ShardJob
     from linkspan.shard.step_run import StepRun
-    from linkspan.shard.suspicion import Suspicion
     from linkspan.shard.task import Task
 
 Order = StartOrder | StopOrder | PaceOrder
@@ -260,15 +260,15 @@
             self.mark_ready(task, now)
         self.touch(task.step.run)
 
-    def suspect(self, task: Task, suspicion: Suspicion | None) -> None:
+    def set_crash_history(self, task: Task, crash_history: CrashHistory | None) -> None:
         """Set what crashes say against a task."""
-        task.suspicion = suspicion
-        if suspicion:
+        task.crash_history = crash_history
+        if crash_history:
             self.suspects[task] = None
         else:
             self.suspects.pop(task, None)
 
-    def forget_suspects(self) -> None:
+    def remove_finished_suspects(self) -> None:
         """Forget suspects that are done, or whose job has ended."""
         over = [t for t in self.suspects if t.done or t.step.run.job.closing]
         for task in over:
@@ -367,7 +367,7 @@
         task, job = attempt.task, attempt.task.step.run.job
         if task.done or attempt.copy or job.closing:
             return False
-        if task.suspect and attempt.carried_over:
+        if task.needs_isolation and attempt.carried_over:
             # It may be what ended the life before: it is placed anew, apart from others.
             return False
         if attempt.found and (len(task.attempts) > 1 or job.advised):
--- a/src/linkspan/shard/attempt.py
+++ b/src/linkspan/shard/attempt.py
@@ -66,7 +66,7 @@
         copy: Whether it runs beside an earlier attempt of its task.
         found: Whether it was found on record or at its executor: for how long it runs is not
             known then.
-        apart: Whether it was started apart from other suspects of crashes.
+        isolated: Whether it was started apart from other suspects of crashes.
         moved: Whether it is stopped to continue elsewhere.
     """
 
@@ -93,7 +93,7 @@
     starts: int = 1
     copy: bool = False
     found: bool = False
-    apart: bool = False
+    isolated: bool = False
     moved: bool = False
 
     @property
--- a/src/linkspan/shard/failures.py
+++ b/src/linkspan/shard/failures.py
@@ -29,19 +29,19 @@
     """Failed runs of a task.
 
     Attributes:
-        named: Those that are known by name.
-        unnamed: How many more a record counts that names none.
-        unnamed_below: Those have run numbers below this one.
+        identified_runs: Those that are known by name.
+        unidentified: How many more a record counts that names none.
+        unidentified_below: Those have run numbers below this one.
     """
 
-    named: frozenset[FailedRun] = frozenset()
-    unnamed: int = 0
-    unnamed_below: int = 0
+    identified_runs: frozenset[FailedRun] = frozenset()
+    unidentified: int = 0
+    unidentified_below: int = 0
 
     @property
     def count(self) -> int:
         """How many runs failed."""
-        return len(self.named) + self.unnamed
+        return len(self.identified_runs) + self.unidentified
 
     def with_run(self, failed: FailedRun) -> Failures:
         """Return the failures with one that was heard of; it may be among them.
@@ -50,15 +50,15 @@
             >>> once = Failures().with_run(FailedRun(1, "e"))
             >>> once.with_run(FailedRun(1, "e")).count
             1
-            >>> Failures(unnamed=1, unnamed_below=2).with_run(FailedRun(1, "e")).count
+            >>> Failures(unidentified=1, unidentified_below=2).with_run(FailedRun(1, "e")).count
             1
         """
-        if failed in self.named:
+        if failed in self.identified_runs:
             return self
-        named = self.named | {failed}
-        if self.unnamed and failed.run < self.unnamed_below:
-            return replace(self, named=named, unnamed=self.unnamed - 1)
-        return replace(self, named=named)
+        named = self.identified_runs | {failed}
+        if self.unidentified and failed.run < self.unidentified_below:
+            return replace(self, identified_runs=named, unidentified=self.unidentified - 1)
+        return replace(self, identified_runs=named)
 
 
 NO_FAILURES = Failures()
@@ -75,8 +75,8 @@
         >>> gang_failures([one, other])
         1
     """
-    runs = {failed.run for failures in members for failed in failures.named}
-    unnamed = sum(failures.unnamed for failures in members)
-    below = max((f.unnamed_below for f in members if f.unnamed), default=0)
+    runs = {failed.run for failures in members for failed in failures.identified_runs}
+    unnamed = sum(failures.unidentified for failures in members)
+    below = max((f.unidentified_below for f in members if f.unidentified), default=0)
     of_record = sum(run < below for run in runs)
     return len(runs) - of_record + max(of_record, unnamed)
--- a/src/linkspan/shard/handover/_loans.py
+++ b/src/linkspan/shard/handover/_loans.py
@@ -5,15 +5,15 @@
 from typing import TYPE_CHECKING
 
 from linkspan.jobs.records import Loan
+from linkspan.shard.crash_history import delegated_crash_history, retract_crash
 from linkspan.shard.recovery.progress import key_of
-from linkspan.shard.suspicion import as_lent, without
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from linkspan.shard._books import ShardBooks
+    from linkspan.shard.crash_history import CrashHistory
     from linkspan.shard.job_run import JobRun
-    from linkspan.shard.suspicion import Suspicion
     from linkspan.shard.task import Task
 
 
@@ -41,7 +41,7 @@
             if task.lent is not None and task.loan < loan.number:
                 task.lent = None
                 task.loan = loan.number
-                self._books.suspect(task, as_lent(loan))
+                self._books.set_crash_history(task, delegated_crash_history(loan))
                 self._books.mark_ready(task, now)
 
     def give_away(self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]) -> JobRun | None:
@@ -72,7 +72,7 @@
             if task.lent is not None and task.loan == loan.number:
                 task.given_back[task.lent] = loan.number
                 task.lent = None
-                self._books.suspect(task, _brought_back(task, loan))
+                self._books.set_crash_history(task, _brought_back(task, loan))
                 self._books.touch(run)
                 self._books.mark_ready(task, now)
 
@@ -98,17 +98,21 @@
                 self._books.advice.forget(step)
 
 
-def _brought_back(task: Task, loan: Loan) -> Suspicion | None:
+def _brought_back(task: Task, loan: Loan) -> CrashHistory | None:
     """Return what a loan brings back of crashes, but for those that were none by now."""
-    known = as_lent(loan)
-    for incarnation in task.excused:
-        known = known and without(known, incarnation, known.version)
-    task.excused.clear()
+    known = delegated_crash_history(loan)
+    for incarnation in task.retracted_crashes:
+        known = known and retract_crash(known, incarnation, known.version)
+    task.retracted_crashes.clear()
     return known
 
 
 def loan_of(task: Task) -> Loan:
     """Return a task's last loan, with the crashes under it: the count goes with the task."""
-    known = task.suspicion
+    known = task.crash_history
     name = task.name.step, task.name.index, task.loan
-    return Loan(*name, known.crashes, known.points, known.named) if known else Loan(*name)
+    return (
+        Loan(*name, known.crash_count, known.crash_score, known.identified_crashes)
+        if known
+        else Loan(*name)
+    )
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -7,12 +7,12 @@
 from linkspan.errors import RecordError
 from linkspan.jobs.records import JobState
 from linkspan.shard._reasons import short_name, used_up
+from linkspan.shard.crash_history import GIVE_UP_REASON, delegated_crash_history
 from linkspan.shard.job_run import INHERITED_RUN_GAP, new_run
 from linkspan.shard.messages import TaskName
 from linkspan.shard.planning._outlook import refresh_outlook
 from linkspan.shard.recovery.progress import RunKey, key_of, restore_run
 from linkspan.shard.shard_job import ShardJob
-from linkspan.shard.suspicion import CRASHES, as_lent
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -120,7 +120,7 @@
         self._books.mark_begun(run.job)
         for task in run.tasks():
             task.next_run += INHERITED_RUN_GAP
-            self._books.suspect(task, task.suspicion)
+            self._books.set_crash_history(task, task.crash_history)
             for attempt in list(task.attempts):
                 executor = self._books.recorded_incarnation(attempt.executor_id)
                 if executor:
@@ -140,8 +140,8 @@
                 why = used_up(worst, failures, run.job.max_attempts)
                 self._books.decide(run.job, JobState.FAILED, **why)
             for task in step.tasks:
-                if task.suspicion and task.suspicion.due:
-                    why = {"reason": CRASHES, "task": short_name(task.name)}
+                if task.crash_history and task.crash_history.must_give_up:
+                    why = {"reason": GIVE_UP_REASON, "task": short_name(task.name)}
                     self._books.decide(run.job, JobState.FAILED, **why)
 
     def _keep_only(self, run: JobRun, loans: Iterable[Loan], home: int) -> None:
@@ -154,7 +154,7 @@
             elif task.loan < loan.number:
                 task.lent = None
                 task.loan = loan.number
-                self._books.suspect(task, as_lent(loan))
+                self._books.set_crash_history(task, delegated_crash_history(loan))
 
     def refresh_queue(self, job: ShardJob) -> None:
         """Take a job's limits from the configuration in force.
--- a/src/linkspan/shard/orders/_dispatch.py
+++ b/src/linkspan/shard/orders/_dispatch.py
@@ -167,7 +167,7 @@
             return
         run = task.step.run
         version = run.version
-        limit_s = None if task.suspicion else self._record_wait_s()
+        limit_s = None if task.crash_history else self._record_wait_s()
         with suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 while run.durable < version and self._waits(run):
--- a/src/linkspan/shard/planning/_copies.py
+++ b/src/linkspan/shard/planning/_copies.py
@@ -38,7 +38,7 @@
         step = attempt.task.step
         if step.run.job.advised or len(attempt.task.attempts) > 1:
             return False
-        if attempt.task.suspicion or self._now < attempt.task.not_before:
+        if attempt.task.crash_history or self._now < attempt.task.not_before:
             # It would be one more executor to lose, or was refused a moment ago.
             return False
         if len(step.durations) < 2 or step.run.job.closing:
--- a/src/linkspan/shard/planning/_trials.py
+++ b/src/linkspan/shard/planning/_trials.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from linkspan.shard.crash_history import EARLY_CRASH_S
 from linkspan.shard.reports._executor_crashes import crash_prone_addresses
-from linkspan.shard.suspicion import SOON_S
 
 if TYPE_CHECKING:
     from linkspan.shard.core import ShardCore
@@ -53,7 +53,7 @@
         overdue = waited >= WAIT_S
         if len(running) >= self._most and not overdue:
             return None
-        alone = task.last_trial and not task.step.spec.gang and waited < LAST_WAIT_S
+        alone = task.at_crash_limit and not task.step.spec.gang and waited < LAST_WAIT_S
         sound = self._sound(placement, task)
         free = [e for e in sound if e.executor_id not in running]
         if free or alone or not overdue:
@@ -66,7 +66,7 @@
         What crashes its executors does so anywhere; where one fell before, it may be at fault
         itself. Where that leaves no executor, all of them count.
         """
-        crashed_at = task.suspicion.addresses if task.suspicion else frozenset()
+        crashed_at = task.crash_history.addresses if task.crash_history else frozenset()
         crashed_at |= crash_prone_addresses(self._core.executor_crashes, self._now)
         fitting = placement.fitting(task)
         if all(e.record.address in crashed_at for e in placement.executors):
@@ -78,9 +78,9 @@
         return {
             attempt.executor_id
             for task in self._core.suspects
-            if task.last_trial
+            if task.at_crash_limit
             for attempt in task.attempts
-            if self._now - attempt.placed_at < SOON_S
+            if self._now - attempt.placed_at < EARLY_CRASH_S
         }
 
     def running(self) -> set[str]:
@@ -88,9 +88,9 @@
         return {
             attempt.executor_id
             for task in self._core.suspects
-            if task.suspect
+            if task.needs_isolation
             for attempt in task.attempts
-            if self._now - attempt.placed_at < SOON_S
+            if self._now - attempt.placed_at < EARLY_CRASH_S
         }
 
 
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -52,7 +52,7 @@
         core = self._core
         view = PlanView(core, PlanRooms(core.colocation, now, wall), now)
         core.release_due(wall, now)
-        core.forget_suspects()
+        core.remove_finished_suspects()
         Moves(view).order()
         for step, waiting in self._ordered(wall):
             if core.may_start(step.run.job, now):
@@ -89,8 +89,8 @@
         if step.spec.gang:
             placed = self._place_gang(placement, pending, view.trials())
         else:
-            suspects = [t for t in pending if t.suspect] if self._core.suspects else []
-            trusted = [t for t in pending if not t.suspect] if suspects else pending
+            suspects = [t for t in pending if t.needs_isolation] if self._core.suspects else []
+            trusted = [t for t in pending if not t.needs_isolation] if suspects else pending
             placed = self._place_each(placement, trusted)
             placed += self._place_suspects(placement, suspects, view)
             placed = placed or self._place_starved(placement, pending)
@@ -150,9 +150,9 @@
                 continue
             apart = executor.executor_id not in trials.running()
             attempt = self._start(placement, task, executor, pace=placement.pace(executor))
-            attempt.apart = apart
+            attempt.isolated = apart
             placed.append(attempt)
-            if task.last_trial:
+            if task.at_crash_limit:
                 placement.executors.remove(executor)
                 view.reserve(executor)
         return placed
@@ -187,7 +187,9 @@
         placed: list[Attempt] = []
         orders = len(self._core.orders)
         for task in pending:
-            executor = trials.choose(placement, task) if task.suspect else placement.choose(task)
+            executor = (
+                trials.choose(placement, task) if task.needs_isolation else placement.choose(task)
+            )
             if executor is None:
                 self._undo(placement, placed, orders)
                 if placed and not begun:
@@ -195,9 +197,9 @@
                     self._core.unmark_begun(progress, dirty=dirty)
                 return []
             task.checkpoint = checkpoint
-            apart = task.suspect and executor.executor_id not in trials.running()
+            apart = task.needs_isolation and executor.executor_id not in trials.running()
             attempt = self._start(placement, task, executor, run=run)
-            attempt.apart = apart
+            attempt.isolated = apart
             placed.append(attempt)
         return placed
 
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -11,10 +11,10 @@
 from linkspan._typed import MOST_WHOLE, parse_started_at_ms, rows, text, whole
 from linkspan.jobs.crash import Crash
 from linkspan.shard.attempt import Attempt, Phase
+from linkspan.shard.crash_history import CrashHistory
 from linkspan.shard.failures import FailedRun, Failures
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.orders._orders import LATE_START_S
-from linkspan.shard.suspicion import Suspicion
 
 if TYPE_CHECKING:
     from linkspan.shard.step_run import StepRun
@@ -38,8 +38,8 @@
     counted: set[int] = set()
     listed = []
     for task in step.tasks:
-        runs = {failed.run for failed in task.failed.named}
-        listed.append(_task_row(task, len(runs - counted) + task.failed.unnamed))
+        runs = {failed.run for failed in task.failed.identified_runs}
+        listed.append(_task_row(task, len(runs - counted) + task.failed.unidentified))
         counted |= runs
     return listed
 
@@ -61,9 +61,9 @@
     first = [task.next_run, failures, task.checkpoint, attempts, task.loan]
     failed = [
         [failed.run, *incarnation_fields(failed.incarnation)]
-        for failed in sorted(task.failed.named)
+        for failed in sorted(task.failed.identified_runs)
     ]
-    crashes, points, named, put_off = _crash_fields(task.suspicion)
+    crashes, points, named, put_off = _crash_fields(task.crash_history)
     saved_by = task.saved_by if task.checkpoint else 0
     more = crashes, points, failed, named, put_off, saved_by, _limit_fields(task)
     return [*first, *_without_last(EMPTY, *more)]
@@ -82,8 +82,8 @@
 
 def _lent_row(task: Task) -> list[Any]:
     first = [-1 - (task.lent or 0), task.loan, task.next_run]
-    excused = [incarnation_fields(incarnation) for incarnation in sorted(task.excused)]
-    return [*first, *_without_last(EMPTY_LENT, *_crash_fields(task.suspicion), excused)]
+    excused = [incarnation_fields(incarnation) for incarnation in sorted(task.retracted_crashes)]
+    return [*first, *_without_last(EMPTY_LENT, *_crash_fields(task.crash_history), excused)]
 
 
 def _without_last(empty: tuple[Any, ...], *fields: Any) -> list[Any]:
@@ -99,12 +99,15 @@
     return kept
 
 
-def _crash_fields(known: Suspicion | None) -> tuple[int, int, list[Any], int]:
+def _crash_fields(known: CrashHistory | None) -> tuple[int, int, list[Any], int]:
     """Return what a record holds of crashes under a task, and of a verdict by them."""
     if known is None:
         return 0, 0, [], 0
-    named = [[c.run, c.score, c.certainty, *incarnation_fields(c.incarnation)] for c in known.named]
-    return known.crashes, known.points, named, int(known.put_off)
+    named = [
+        [c.run, c.score, c.certainty, *incarnation_fields(c.incarnation)]
+        for c in known.identified_crashes
+    ]
+    return known.crash_count, known.crash_score, named, int(known.give_up_deferred)
 
 
 def restore_task(task: Task, row: Any, now: float) -> None:
@@ -127,7 +130,7 @@
     if limit:
         most, *version = rows(limit)
         task.step.run.job.take_limit(whole(most), whole(version[0]) if version else None)
-    task.suspicion = _suspicion(crashes, points, named, put_off)
+    task.crash_history = _suspicion(crashes, points, named, put_off)
     task.next_run = whole(next_run, least=1)
     task.checkpoint, task.saved_by, task.loan = text(checkpoint), whole(saved_by), whole(loan)
     task.attempts += [_attempt(task, rows(fields), now) for fields in rows(attempts)]
@@ -141,8 +144,8 @@
     task.lent = -1 - first
     task.loan, task.next_run = whole(loan), whole(next_run, least=1)
     *crashes, excused = _padded(EMPTY_LENT, more)
-    task.suspicion = _suspicion(*crashes)
-    task.excused = {incarnation_name(rows(incarnation)) for incarnation in rows(excused)}
+    task.crash_history = _suspicion(*crashes)
+    task.retracted_crashes = {incarnation_name(rows(incarnation)) for incarnation in rows(excused)}
 
 
 def _padded(empty: tuple[Any, ...], fields: list[Any]) -> list[Any]:
@@ -155,7 +158,7 @@
     return [*fields, *empty[len(fields) :]][: len(empty)]
 
 
-def _suspicion(crashes: Any, points: Any, named: Any, put_off: Any) -> Suspicion | None:
+def _suspicion(crashes: Any, points: Any, named: Any, put_off: Any) -> CrashHistory | None:
     """Return what a record says against a task; records of earlier versions name no crash."""
     if not (whole(crashes) and whole(points)):
         return None
@@ -163,7 +166,9 @@
         Crash(incarnation_name(incarnation), whole(run), whole(counts)).with_certainty(whole(known))
         for run, counts, known, *incarnation in map(rows, rows(named))
     )
-    return Suspicion(whole(crashes), whole(points), named=names, put_off=whole(put_off) > 0)
+    return CrashHistory(
+        whole(crashes), whole(points), identified_crashes=names, give_up_deferred=whole(put_off) > 0
+    )
 
 
 def _failures(count: int, named: list[Any], below: int) -> Failures:
--- a/src/linkspan/shard/reports/_crash_weights.py
+++ b/src/linkspan/shard/reports/_crash_weights.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from linkspan.shard.attempt import FULL_PROGRESS, NEVER, Phase
-from linkspan.shard.suspicion import (
-    AT_ONCE_POINTS,
-    AT_ONCE_S,
-    LEAST_POINTS,
-    SOON_POINTS,
-    SOON_S,
+from linkspan.shard.crash_history import (
+    EARLY_CRASH_S,
+    EARLY_CRASH_SCORE,
+    IMMEDIATE_CRASH_S,
+    IMMEDIATE_CRASH_SCORE,
+    MIN_CRASH_SCORE,
 )
 
 if TYPE_CHECKING:
@@ -62,13 +62,13 @@
     had put that off. A former owner may have had the answer, and been lost before it was on record:
     such a run counts, as no verdict comes by it.
     """
-    known = attempt.task.suspicion
+    known = attempt.task.crash_history
     if known is None:
         return True
-    unheard = known.crashes - known.heard
-    if known.counts(attempt.run):
+    unheard = known.crash_count - known.confirmed_count
+    if known.counts_run(attempt.run):
         return False
-    return attempt.found or not known.last or unheard > 0
+    return attempt.found or not known.at_crash_limit or unheard > 0
 
 
 def stands_out(attempt: Attempt, suspects: list[Attempt]) -> bool:
@@ -78,17 +78,17 @@
 
 
 def _suspected(attempt: Attempt) -> int:
-    return attempt.task.suspicion.points if attempt.task.suspicion else 0
+    return attempt.task.crash_history.crash_score if attempt.task.crash_history else 0
 
 
 def points_of(attempt: Attempt, worked: float) -> int:
     """Return what a crash counts under a run that was there for some seconds."""
     if attempt.confirmed_at == NEVER:
         # It may have come to an executor that had fallen already, or never.
-        return LEAST_POINTS
-    if attempt.found or worked > min(SOON_S, _length_s(attempt)):
-        return LEAST_POINTS
-    return SOON_POINTS if worked > AT_ONCE_S else AT_ONCE_POINTS
+        return MIN_CRASH_SCORE
+    if attempt.found or worked > min(EARLY_CRASH_S, _length_s(attempt)):
+        return MIN_CRASH_SCORE
+    return EARLY_CRASH_SCORE if worked > IMMEDIATE_CRASH_S else IMMEDIATE_CRASH_SCORE
 
 
 def _length_s(attempt: Attempt) -> float:
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -15,6 +15,17 @@
 from linkspan.jobs.records import JobState
 from linkspan.shard._reasons import short_name
 from linkspan.shard.attempt import NEVER
+from linkspan.shard.crash_history import (
+    CLEARED_AFTER_S,
+    GIVE_UP_REASON,
+    MAX_CONFIRMED_CRASHES,
+    MIN_CERTAIN_CRASHES,
+    MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL,
+    MIN_CRASH_SCORE,
+    add_crash,
+    clear_blame,
+    retract_crash,
+)
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.reports._crash_weights import (
     counts_unheard,
@@ -29,26 +40,15 @@
     RECENT_CRASH_S,
     ExecutorCrash,
 )
-from linkspan.shard.suspicion import (
-    CLEARED_S,
-    CRASHES,
-    LEAST_CERTAIN,
-    LEAST_CERTAIN_WHERE_OTHERS_FALL,
-    LEAST_POINTS,
-    MOST_CRASHES,
-    one_more,
-    unnamed,
-    without,
-)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from linkspan.shard._books import ShardBooks
     from linkspan.shard.attempt import Attempt
+    from linkspan.shard.crash_history import CrashHistory
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import EndedTask
-    from linkspan.shard.suspicion import Suspicion
     from linkspan.shard.task import Task
 
 MAX_REMEMBERED_CRASHES = 64
@@ -58,7 +58,7 @@
 """Executors that fell beside one, with no suspect tried there, from which on it convicts nobody: a
 rack or a hall falls by itself. What crashes them falls alone once it is tried apart."""
 
-VERDICT_S = 0.5
+GIVE_UP_DELAY_S = 0.5
 """Time after a crash after which it convicts: of executors that fall at once the first is found
 some hundred milliseconds before the others."""
 
@@ -93,7 +93,9 @@
         """Take in ends that were told by a life that is over: those runs did not crash it."""
         for end in ended:
             task = self._books.find_task(end.task)
-            crash = task.suspicion.crash_of(incarnation) if task and task.suspicion else None
+            crash = (
+                task.crash_history.crash_of(incarnation) if task and task.crash_history else None
+            )
             if task and crash and crash.run == end.run:
                 self._take_back(task, incarnation)
 
@@ -108,7 +110,9 @@
             fall for fall in self._books.executor_crashes if fall.executor_id != incarnation
         ]
         tasks = [
-            t for t in self._books.suspects if t.suspicion and t.suspicion.crash_of(incarnation)
+            t
+            for t in self._books.suspects
+            if t.crash_history and t.crash_history.crash_of(incarnation)
         ]
         for task in tasks:
             self._take_back(task, incarnation)
@@ -124,13 +128,15 @@
             )
 
     def _take_back(self, task: Task, incarnation: str) -> None:
-        if task.suspicion:
+        if task.crash_history:
             run = task.step.run
             self._books.touch(run)
             if task.lent is not None:
                 # The loan was told of it, and brings it back.
-                task.excused.add(incarnation)
-            self._books.suspect(task, without(task.suspicion, incarnation, run.version))
+                task.retracted_crashes.add(incarnation)
+            self._books.set_crash_history(
+                task, retract_crash(task.crash_history, incarnation, run.version)
+            )
 
     def _on_end(self, executor: ExecutorState, now: float, proof: str, *, sure: bool) -> None:
         attempts = list(executor.attempts.values()) or executor.lapsed
@@ -152,15 +158,15 @@
         by_age = sorted(attempts, key=lambda a: worked_s(a, crashed_at))
         self._log(executor, by_age, crashed_at, now, proof=proof, beside=len(beside))
         untried = sum(not other.had_isolated_task for other in beside)
-        suspects = [a for a in attempts if a.task.suspect]
+        suspects = [a for a in attempts if a.task.needs_isolation]
         named = [a for a in attempts if sure and not untried and stands_out(a, suspects)]
-        before = {a.task for a in attempts if a.task.suspicion}
+        before = {a.task for a in attempts if a.task.crash_history}
         for attempt in by_age:
             worked = worked_s(attempt, crashed_at)
             crash = Crash(
                 executor.executor_id,
                 attempt.run,
-                points_of(attempt, worked) if attempt in named else LEAST_POINTS,
+                points_of(attempt, worked) if attempt in named else MIN_CRASH_SCORE,
                 was_heard(attempt),
                 executor.record.address,
                 sure and is_certain(attempt, crashed_at),
@@ -174,11 +180,11 @@
         """Take back what falls named, now that another one beside them was found."""
         for other in beside:
             for task in other.blamed_tasks:
-                if task.suspicion:
+                if task.crash_history:
                     run = task.step.run
                     self._books.touch(run)
-                    excused = unnamed(task.suspicion, other.executor_id, run.version)
-                    self._books.suspect(task, excused)
+                    excused = clear_blame(task.crash_history, other.executor_id, run.version)
+                    self._books.set_crash_history(task, excused)
             other.blamed_tasks.clear()
 
     def _falls_beside(self, fall: ExecutorCrash) -> list[ExecutorCrash]:
@@ -206,15 +212,15 @@
         task = attempt.task
         if task.done or task.step.run.job.closing:
             return
-        if worked >= CLEARED_S:
-            self._books.suspect(task, None)
+        if worked >= CLEARED_AFTER_S:
+            self._books.set_crash_history(task, None)
             return
         if not crash.confirmed and not counts_unheard(attempt):
             return
         run = task.step.run
         self._books.touch(run)
-        known = one_more(task.suspicion, crash, run.version, alone=alone)
-        self._books.suspect(task, replace(known, put_off=known.convicted))
+        known = add_crash(task.crash_history, crash, run.version, alone=alone)
+        self._books.set_crash_history(task, replace(known, give_up_deferred=known.should_give_up))
 
     def _accuse(self, attempt: Attempt, now: float, *, convicts: bool) -> None:
         """Give a task up that is convicted, unless a fall beside is found right after.
@@ -226,13 +232,13 @@
                 cause. That spares a task once, as the platform bears one start more.
         """
         task = attempt.task
-        known = task.suspicion
+        known = task.crash_history
         if known is None or task in self._accused:
             return
-        if not known.convicted_by(self._least_certain(known, now)):
+        if not known.should_give_up_with(self._least_certain(known, now)):
             return
-        if convicts or known.crashes > MOST_CRASHES:
-            self._accused[task] = attempt, now + VERDICT_S
+        if convicts or known.crash_count > MAX_CONFIRMED_CRASHES:
+            self._accused[task] = attempt, now + GIVE_UP_DELAY_S
             # Until the verdict, however late that comes: a plan may be made right before it.
             task.not_before = float("inf")
 
@@ -244,24 +250,28 @@
             task.not_before = now
             self._give_up(attempt, now)
 
-    def _least_certain(self, known: Suspicion, now: float) -> int:
+    def _least_certain(self, known: CrashHistory, now: float) -> int:
         """Return how many crashes of a task must be certain for what they count to decide."""
-        incarnations = {crash.incarnation for crash in known.named}
+        incarnations = {crash.incarnation for crash in known.identified_crashes}
         others = sum(
             not fall.had_isolated_task
             and fall.executor_id not in incarnations
             and now - fall.by < RECENT_CRASH_S
             for fall in self._books.executor_crashes
         )
-        return LEAST_CERTAIN_WHERE_OTHERS_FALL if others >= MIN_REPEATED_CRASHES else LEAST_CERTAIN
+        return (
+            MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL
+            if others >= MIN_REPEATED_CRASHES
+            else MIN_CERTAIN_CRASHES
+        )
 
     def _give_up(self, attempt: Attempt, now: float) -> None:
         task = attempt.task
         job = task.step.run.job
-        known = task.suspicion
+        known = task.crash_history
         if task.done or known is None or job.closing:
             return
-        if not known.convicted_by(self._least_certain(known, now)):
+        if not known.should_give_up_with(self._least_certain(known, now)):
             return
         self._books.count("tasks_given_up")
         self._books.log_run(
@@ -269,12 +279,12 @@
             attempt.executor_id,
             task.name,
             attempt.run,
-            crashes=known.crashes,
-            heard=known.heard,
-            certain=known.certain,
-            points=known.points,
+            crashes=known.crash_count,
+            heard=known.confirmed_count,
+            certain=known.certain_count,
+            points=known.crash_score,
         )
-        why = {"reason": CRASHES, "task": short_name(task.name), "run": attempt.run}
+        why = {"reason": GIVE_UP_REASON, "task": short_name(task.name), "run": attempt.run}
         self._books.decide(job, JobState.FAILED, **why)
 
     def _log(
@@ -304,14 +314,14 @@
     heard_at = executor.clock.heard_at if executor.clock else NEVER
     # Starts are answered, too, if not by whom.
     after = max([heard_at, *(a.confirmed_at for a in executor.attempts.values())])
-    tried = any(attempt.apart for attempt in executor.attempts.values())
+    tried = any(attempt.isolated for attempt in executor.attempts.values())
     return ExecutorCrash(executor.executor_id, executor.record.address, after, by, tried, set())
 
 
 def _told(attempt: Attempt, crashed_at: float) -> list[float]:
     """Return how long a run was there, and the crashes under its task before and their points."""
-    known = attempt.task.suspicion
-    before = [known.crashes, known.points] if known else [0, 0]
+    known = attempt.task.crash_history
+    before = [known.crash_count, known.crash_score] if known else [0, 0]
     return [round(worked_s(attempt, crashed_at), 3), *before]
 
 
--- a/src/linkspan/shard/task.py
+++ b/src/linkspan/shard/task.py
@@ -10,9 +10,9 @@
 
 if TYPE_CHECKING:
     from linkspan.shard.attempt import Attempt
+    from linkspan.shard.crash_history import CrashHistory
     from linkspan.shard.messages import TaskName
     from linkspan.shard.step_run import StepRun
-    from linkspan.shard.suspicion import Suspicion
 
 
 @dataclass(slots=True, eq=False)
@@ -32,8 +32,9 @@
         saved_by: Number of the run that saved that, as far as this owner heard.
         attempts: Its attempts that may be running.
         avoid: Executors on which it failed or stood still.
-        suspicion: What crashes of its executors say against it, ``None`` for nothing.
-        excused: Lives whose end turned out to be no crash while another shard looks after it.
+        crash_history: What crashes of its executors say against it, ``None`` for nothing.
+        retracted_crashes: Lives whose end turned out to be no crash while another shard looks after
+            it.
         not_before: Steady time before which it is not started again.
         moves: Times that it was moved since a run took far longer than its like.
         refusals: Starts of it that executors refused in a row.
@@ -53,8 +54,8 @@
     saved_by: int = 0
     attempts: list[Attempt] = field(default_factory=list)
     avoid: set[str] = field(default_factory=set)
-    suspicion: Suspicion | None = None
-    excused: set[str] = field(default_factory=set)
+    crash_history: CrashHistory | None = None
+    retracted_crashes: set[str] = field(default_factory=set)
     not_before: float = NEVER
     moves: int = 0
     refusals: int = 0
@@ -83,14 +84,14 @@
         return any(a.phase is Phase.RUNNING and a.progress >= FULL_PROGRESS for a in self.attempts)
 
     @property
-    def suspect(self) -> bool:
+    def needs_isolation(self) -> bool:
         """Whether it is to be started apart from others that may crash their executor."""
-        return self.suspicion is not None and self.suspicion.apart
+        return self.crash_history is not None and self.crash_history.needs_isolation
 
     @property
-    def last_trial(self) -> bool:
+    def at_crash_limit(self) -> bool:
         """Whether one more crash under it gives it up."""
-        return self.suspicion is not None and self.suspicion.last
+        return self.crash_history is not None and self.crash_history.at_crash_limit
 
     @property
     def on_record(self) -> bool:
@@ -98,7 +99,7 @@
 
         Until it does, a next owner would not know that a start of it is one more.
         """
-        return self.suspicion is None or self.step.run.durable >= self.suspicion.version
+        return self.crash_history is None or self.step.run.durable >= self.crash_history.version
 
     @property
     def share_left(self) -> float:
--- a/tests/fuzz/test_shard_records.py
+++ b/tests/fuzz/test_shard_records.py
@@ -44,7 +44,7 @@
     for task in run.tasks():
         assert type(task.next_run) is int and task.next_run >= 1
         assert type(task.failures) is int and task.failures >= 0
-        for failed in task.failed.named:
+        for failed in task.failed.identified_runs:
             assert type(failed.run) is int and isinstance(failed.incarnation, str)
         assert type(task.loan) is int and isinstance(task.checkpoint, str)
         assert task.lent is None or (type(task.lent) is int and task.lent >= 0)
--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -129,12 +129,12 @@
 
 def test_a_loan_tells_of_crashes_to_those_who_know_of_them() -> None:
     """Earlier versions read the first three fields; what they write has no others."""
-    lent = Lent("0a", 1, (Loan(0, 0, 1, crashes=2, points=6), Loan(0, 1, 1)))
+    lent = Lent("0a", 1, (Loan(0, 0, 1, crash_count=2, crash_score=6), Loan(0, 1, 1)))
     key, value = encode(lent)
     assert json.loads(value) == [[0, 0, 1, 2, 6], [0, 1, 1]]
     read = decode(key, value)
     assert isinstance(read, Lent)
-    assert [(loan.crashes, loan.points) for loan in read.loans] == [(2, 6), (0, 0)]
+    assert [(loan.crash_count, loan.crash_score) for loan in read.loans] == [(2, 6), (0, 0)]
     earlier = decode(key, b"[[0,0,1]]")
     assert isinstance(earlier, Lent) and earlier.loans == (Loan(0, 0, 1),)
     assert earlier.loans[0] == lent.loans[0], "what names a loan is not what it tells"
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -9,10 +9,14 @@
 from linkspan.jobs.records import Lent, Loan
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.core import ShardCore
+from linkspan.shard.crash_history import (
+    MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL,
+    CrashHistory,
+    add_crash,
+)
 from linkspan.shard.messages import ExecutorReport, RunningTask
 from linkspan.shard.recovery.progress import encode_run, restore_run
-from linkspan.shard.reports._crashes import VERDICT_S
-from linkspan.shard.suspicion import LEAST_CERTAIN_WHERE_OTHERS_FALL, Suspicion, one_more
+from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan, report, started
@@ -49,8 +53,8 @@
     core.on_gone(name, gone, REPLACED)
 
 
-def known_of(core: ShardCore) -> Suspicion:
-    known = only_task(core).suspicion
+def known_of(core: ShardCore) -> CrashHistory:
+    known = only_task(core).crash_history
     assert known
     return known
 
@@ -66,9 +70,9 @@
     fall(core, "e0@1", 13.02, 13.021)
     run_on(core, "e2@1", 14.422)
     fall(core, "e2@1", 14.53, 14.54)
-    core.tick(14.54 + VERDICT_S)
+    core.tick(14.54 + GIVE_UP_DELAY_S)
     known = known_of(core)
-    assert (known.crashes, known.heard, known.certain) == (2, 2, 1)
+    assert (known.crash_count, known.confirmed_count, known.certain_count) == (2, 2, 1)
     assert core.finished == []
 
 
@@ -79,7 +83,7 @@
         run_on(core, f"e{number}@1", at)
         fall(core, f"e{number}@1", at + 0.05, at + 0.06)
     core.tick(15.0)
-    assert known_of(core).certain == 2
+    assert known_of(core).certain_count == 2
     assert [f.job_id for f in core.finished] == [JOB]
 
 
@@ -93,7 +97,7 @@
             "e0@1", ExecutorReport(11.0, (row,), (), started_at_ms=1), asked=11.0, now=11.0
         )
         fall(core, "e0@1", 12.0, 12.1)
-        assert known_of(core).certain == certain, percent
+        assert known_of(core).certain_count == certain, percent
 
 
 def test_where_executors_fall_by_themselves_three_crashes_must_be_certain() -> None:
@@ -110,7 +114,7 @@
         run_on(core, f"e{number}@1", at)
         fall(core, f"e{number}@1", at + 0.05, at + 0.06)
     core.tick(15.0)
-    assert known_of(core).points >= 8
+    assert known_of(core).crash_score >= 8
     assert core.finished == []
     run_on(core, "e2@1", 16.0)
     fall(core, "e2@1", 16.05, 16.06)
@@ -120,11 +124,11 @@
 
 def test_no_verdict_comes_by_fewer_than_two_certain_crashes_nor_later_than_a_fifth() -> None:
     """Guards against innocent jobs given up by doubts, and starts without end of the guilty."""
-    known = Suspicion(1, 4, named=(UNSURE,))
+    known = CrashHistory(1, 4, identified_crashes=(UNSURE,))
     for number in range(2, 5):
-        known = one_more(known, Crash(f"e{number}@1", number, 4, certain=False), 0)
-        assert (known.certain, known.convicted) == (0, False)
-    assert one_more(known, Crash("e5@1", 5, 2, certain=False), 0).convicted
+        known = add_crash(known, Crash(f"e{number}@1", number, 4, certain=False), 0)
+        assert (known.certain_count, known.should_give_up) == (0, False)
+    assert add_crash(known, Crash("e5@1", 5, 2, certain=False), 0).should_give_up
 
 
 def test_four_falls_that_were_mostly_none_convict_nobody() -> None:
@@ -147,7 +151,7 @@
     fall(core, "life-17@1", 64.13, 65.28)
     core.tick(65.79)
     known = known_of(core)
-    assert (known.heard, known.certain) == (1, 0)
+    assert (known.confirmed_count, known.certain_count) == (1, 0)
     assert core.finished == []
 
 
@@ -157,29 +161,29 @@
     core = core_with(step(1))
     task = only_task(core)
     task.next_run = 5
-    core.suspect(task, Suspicion(3, 10, named=named))
+    core.set_crash_history(task, CrashHistory(3, 10, identified_crashes=named))
     run = core_with(step(1)).jobs[JOB].runs[0]
     restore_run(run, encode_run(core.jobs[JOB].runs[0]), 0.0)
     (restored,) = run.tasks()
-    assert restored.suspicion
-    assert [c.certainty for c in restored.suspicion.named] == [1, 2, 0]
+    assert restored.crash_history
+    assert [c.certainty for c in restored.crash_history.identified_crashes] == [1, 2, 0]
     read = decode(*encode(Lent(JOB, 1, (Loan(0, 0, 1, 3, 10, named),))))
     assert isinstance(read, Lent)
-    assert [c.certainty for c in read.loans[0].named] == [1, 2, 0]
+    assert [c.certainty for c in read.loans[0].identified_crashes] == [1, 2, 0]
 
 
 def test_a_start_on_record_without_an_answer_is_no_run_that_was_heard_of() -> None:
     """Guards against a doubt of a former owner that counts as a crash for certain."""
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
-    assert not known_after_fall(core).named[0].confirmed
+    assert not known_after_fall(core).identified_crashes[0].confirmed
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
     started(core, order, 1.1)
-    assert known_after_fall(core).named[0].confirmed
+    assert known_after_fall(core).identified_crashes[0].confirmed
 
 
-def known_after_fall(core: ShardCore) -> Suspicion:
+def known_after_fall(core: ShardCore) -> CrashHistory:
     """Return what a next owner knows of the task once its executor fell."""
     heir = core_with(step(1), executors=1)
     heir.jobs.clear()
@@ -199,12 +203,12 @@
     core = core_with(step(1, estimate_s=60.0), executors=1)
     named = tuple(Crash(f"e{number}@1", number, 2) for number in (1, 2, 3))
     only_task(core).next_run = 4
-    core.suspect(only_task(core), Suspicion(3, 7, named=named))
+    core.set_crash_history(only_task(core), CrashHistory(3, 7, identified_crashes=named))
     core.jobs[JOB].runs[0].durable = core.jobs[JOB].runs[0].version
     (order,) = plan(core, 10.0)
     known = known_after_fall(core)
-    assert (known.crashes, known.heard, known.convicted) == (4, 3, False)
-    assert one_more(known, Crash("e5@1", order.run + 16, 2), 0).convicted
+    assert (known.crash_count, known.confirmed_count, known.should_give_up) == (4, 3, False)
+    assert add_crash(known, Crash("e5@1", order.run + 16, 2), 0).should_give_up
 
 
 def test_where_executors_fall_by_themselves_runs_that_nobody_heard_of_give_no_task_up() -> None:
@@ -217,10 +221,10 @@
         Crash(f"e{number}@1", number, 2, confirmed=number < 3, certain=False)
         for number in range(1, 6)
     )
-    known = Suspicion(5, 7, named=named)
-    assert known.convicted, "where nothing else falls, nothing else explains it"
-    assert not known.convicted_by(LEAST_CERTAIN_WHERE_OTHERS_FALL)
-    assert not replace(known, put_off=True).due
+    known = CrashHistory(5, 7, identified_crashes=named)
+    assert known.should_give_up, "where nothing else falls, nothing else explains it"
+    assert not known.should_give_up_with(MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL)
+    assert not replace(known, give_up_deferred=True).must_give_up
 
 
 def test_a_standing_run_that_was_taken_over_is_there_until_its_executor_falls() -> None:
@@ -234,4 +238,4 @@
     row = RunningTask(run.task.name, run.run, "", 100, None)
     core.on_report("e0@1", ExecutorReport(3.0, (row,), (), started_at_ms=1), asked=3.0, now=3.0)
     fall(core, "e0@1", 4.0, 4.1)
-    assert known_of(core).certain == 1
+    assert known_of(core).certain_count == 1
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -9,10 +9,10 @@
 from linkspan.jobs.crash import Crash
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.core import ShardCore
+from linkspan.shard.crash_history import CrashHistory, add_crash
 from linkspan.shard.messages import ExecutorReport
 from linkspan.shard.planning._trials import LAST_WAIT_S
-from linkspan.shard.reports._crashes import VERDICT_S
-from linkspan.shard.suspicion import Suspicion, one_more
+from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.hall_world import HallWorld
 from tests.host.crashing_day import day, states, submit
@@ -89,7 +89,7 @@
     core = core_with(step(2), executors=2)
     place(core, core.executors["e1"], cpu=6_000)
     for task in core.jobs[JOB].runs[0].tasks():
-        core.suspect(task, Suspicion(1, 4))
+        core.set_crash_history(task, CrashHistory(1, 4))
     (tried,) = plan(core, 1.0)
     assert tried.executor_id == "e0", "where least is lost"
     (late,) = plan(core, 3.5)
@@ -100,7 +100,7 @@
     """It waited for ever: a task that failed on an executor avoids it, but not for good."""
     core = core_with(step(1), executors=2)
     (task,) = core.jobs[JOB].runs[0].tasks()
-    core.suspect(task, Suspicion(1, 4))
+    core.set_crash_history(task, CrashHistory(1, 4))
     task.avoid |= {"e0", "e1"}
     assert plan(core, 3.5)
 
@@ -109,11 +109,13 @@
     """Two tasks were there each time: one of them is innocent, and is tried apart once more."""
     known = None
     for run, points in enumerate((3, 3, 2)):
-        known = one_more(known, Crash(f"e{run}", run, points), 0)
-        assert not known.convicted
+        known = add_crash(known, Crash(f"e{run}", run, points), 0)
+        assert not known.should_give_up
     last = Crash("e3", 3, 2)
-    assert one_more(known, last, 0).convicted, "whatever they count, four crashes are the most"
-    assert one_more(Suspicion(2, 6), Crash("e2", 2, 3), 0).convicted, "it was named"
+    assert add_crash(known, last, 0).should_give_up, (
+        "whatever they count, four crashes are the most"
+    )
+    assert add_crash(CrashHistory(2, 6), Crash("e2", 2, 3), 0).should_give_up, "it was named"
 
 
 def test_an_empty_executor_that_fell_beside_speaks_for_the_tasks_of_others() -> None:
@@ -129,7 +131,7 @@
     core.on_silent("e1", 2.0)
     for name in ("e0", "e1"):
         core.on_gone(name, 3.0, "machine lists it no more")
-    assert task.suspicion == Suspicion(1, 2, version=1)
+    assert task.crash_history == CrashHistory(1, 2, version=1)
 
 
 def test_a_start_without_an_answer_convicts_no_task() -> None:
@@ -142,7 +144,7 @@
     core = core_with(step(1), executors=1)
     (task,) = core.jobs[JOB].runs[0].tasks()
     (order,) = plan(core, 1.0)
-    core.suspect(task, Suspicion(2, 5))
+    core.set_crash_history(task, CrashHistory(2, 5))
     core.on_silent("e0", 1.9)
     core.on_start_unanswered(order, 2.0)
     core.on_gone("e0", 2.1, "another incarnation answers")
@@ -170,18 +172,18 @@
         incarnation = f"e0@{started_at_ms - 1}"
         report = ExecutorReport(0.1, (), (), started_at_ms=started_at_ms)
         core.on_report(incarnation, report, asked=2.0 + started_at_ms, now=2.01 + started_at_ms)
-    assert task.suspicion and task.suspicion.crashes == 1
+    assert task.crash_history and task.crash_history.crash_count == 1
 
 
 def test_starts_without_an_answer_convict_nobody() -> None:
     core = core_with(step(1), executors=1)
     (task,) = core.jobs[JOB].runs[0].tasks()
-    core.suspect(task, Suspicion(3, 7))
+    core.set_crash_history(task, CrashHistory(3, 7))
     run = Attempt(task, task.next_run, "e0", Phase.DOUBT, 1.0)
     core.attach(core.executors["e0"], run)
     core.on_gone("e0", 2.0, "another incarnation answers")
     core.tick(9.0)
-    assert task.suspicion == Suspicion(3, 7)
+    assert task.crash_history == CrashHistory(3, 7)
     assert core.finished == []
 
 
@@ -190,7 +192,7 @@
     core = core_with(step(1, cpu=4_000))
     (task,) = core.jobs[JOB].runs[0].steps[0].tasks
     place(core, core.executors["e0"], cpu=8_000, standing=True)
-    core.suspect(task, Suspicion(3, 7, 0, (Crash("e1", 1, 2, address="e1:1"),)))
+    core.set_crash_history(task, CrashHistory(3, 7, 0, (Crash("e1", 1, 2, address="e1:1"),)))
     core.jobs[JOB].runs[0].durable = float("inf")
     assert plan(core, LAST_WAIT_S - 0.1) == []
     (order,) = plan(core, LAST_WAIT_S + 0.1)
@@ -215,9 +217,9 @@
     core.jobs[JOB].runs[0].durable = float("inf")
     for at, name in ((10.0, "e0"), (20.0, "e1")):
         fall_under(core, task, name, at)
-    assert task.suspicion and task.suspicion.convicted
-    assert plan(core, 20.1 + VERDICT_S) == []
-    core.tick(20.1 + VERDICT_S)
+    assert task.crash_history and task.crash_history.should_give_up
+    assert plan(core, 20.1 + GIVE_UP_DELAY_S) == []
+    core.tick(20.1 + GIVE_UP_DELAY_S)
     assert [f.job_id for f in core.finished] == [JOB]
 
 
@@ -228,13 +230,13 @@
     core.jobs[JOB].runs[0].durable = float("inf")
     for at, name in ((10.0, "e0"), (20.0, "e1")):
         fall_under(core, task, name, at)
-    assert task.suspicion and task.suspicion.convicted
+    assert task.crash_history and task.crash_history.should_give_up
     core.on_silent("e2", 20.05)
     core.on_gone("e2", 20.2, "another incarnation answers")
     add_executor(core, "e3")
-    core.tick(20.1 + VERDICT_S)
+    core.tick(20.1 + GIVE_UP_DELAY_S)
     assert core.finished == []
-    assert plan(core, 20.1 + VERDICT_S)
+    assert plan(core, 20.1 + GIVE_UP_DELAY_S)
 
 
 def test_a_crash_convicts_no_task_beside_which_others_had_crashed_executors_before() -> None:
@@ -244,20 +246,20 @@
     """
     core = core_with(step(1), step(1), executors=2)
     suspected, other = core.jobs[JOB].runs[0].tasks()
-    core.suspect(suspected, Suspicion(2, 7))
-    core.suspect(other, Suspicion(1, 2))
+    core.set_crash_history(suspected, CrashHistory(2, 7))
+    core.set_crash_history(other, CrashHistory(1, 2))
     place_task(core, other, "e0", began=10.0)
     fall_under(core, suspected, "e0", 10.0)
-    known = suspected.suspicion
-    assert known and (known.crashes, known.points, known.convicted) == (3, 7, False)
+    known = suspected.crash_history
+    assert known and (known.crash_count, known.crash_score, known.should_give_up) == (3, 7, False)
     fall_under(core, suspected, "e1", 20.0)
-    assert suspected.suspicion and suspected.suspicion.convicted, "it was alone there"
+    assert suspected.crash_history and suspected.crash_history.should_give_up, "it was alone there"
 
 
 def test_a_crash_still_convicts_beside_work_that_no_executor_had_crashed_under() -> None:
     core = core_with(step(1), step(1), executors=1)
     suspected, other = core.jobs[JOB].runs[0].tasks()
-    core.suspect(suspected, Suspicion(1, 4))
+    core.set_crash_history(suspected, CrashHistory(1, 4))
     place_task(core, other, "e0", began=10.0)
     fall_under(core, suspected, "e0", 10.0)
-    assert suspected.suspicion and suspected.suspicion.convicted
+    assert suspected.crash_history and suspected.crash_history.should_give_up
--- a/tests/shard/test_crashes_on_record.py
+++ b/tests/shard/test_crashes_on_record.py
@@ -10,10 +10,10 @@
 from linkspan.jobs.record_codec import decode, encode
 from linkspan.jobs.records import JobState, Lent
 from linkspan.shard.core import ShardCore
+from linkspan.shard.crash_history import CrashHistory, add_crash, delegated_crash_history
 from linkspan.shard.failures import FailedRun, Failures
 from linkspan.shard.handover._loans import loan_of
 from linkspan.shard.recovery.progress import encode_run, restore_run
-from linkspan.shard.suspicion import Suspicion, as_lent, one_more
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, submitted
 
@@ -33,13 +33,13 @@
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
     first.next_run = 4
-    core.suspect(first, Suspicion(3, 6, version=9))
+    core.set_crash_history(first, CrashHistory(3, 6, version=9))
     second.lent, second.loan = 1, 4
-    core.suspect(second, Suspicion(1, 4))
+    core.set_crash_history(second, CrashHistory(1, 4))
     heir = read_by_next_owner(record(core))
     first, second = heir.jobs[JOB].runs[0].tasks()
-    assert first.suspicion == Suspicion(3, 6), "and what is on record is known to be"
-    assert second.suspicion == Suspicion(1, 4)
+    assert first.crash_history == CrashHistory(3, 6), "and what is on record is known to be"
+    assert second.crash_history == CrashHistory(1, 4)
     assert set(heir.suspects) == {first, second}
     assert first.on_record
 
@@ -49,7 +49,7 @@
     core = core_with(step(2))
     (first, _) = core.jobs[JOB].runs[0].tasks()
     first.next_run = 3
-    core.suspect(first, Suspicion(2, 8))
+    core.set_crash_history(first, CrashHistory(2, 8))
     heir = read_by_next_owner(record(core))
     assert [(f.job_id, f.state) for f in heir.finished] == [(JOB, JobState.FAILED)]
 
@@ -60,8 +60,8 @@
     first, second = core.jobs[JOB].runs[0].tasks()
     first.next_run, second.lent, second.loan = 4, 1, 2
     plain = json.loads(record(core))
-    core.suspect(first, Suspicion(2, 5))
-    core.suspect(second, Suspicion(1, 4))
+    core.set_crash_history(first, CrashHistory(2, 5))
+    core.set_crash_history(second, CrashHistory(1, 4))
     ((one, other),) = json.loads(record(core))
     assert [one[:5], other[:3]] == plain[0]
     assert (one[5:], other[3:]) == ([2, 5], [1, 4])
@@ -72,7 +72,7 @@
     core = core_with(step(2))
     run = core.jobs[JOB].runs[0]
     restore_run(run, json.dumps([rows]).encode(), 0.0)
-    assert [task.suspicion for task in run.tasks()] == [None, None]
+    assert [task.crash_history for task in run.tasks()] == [None, None]
 
 
 CUT_OFF = Crash("e9@1700000000009", 2, 3)
@@ -85,13 +85,13 @@
     first, _ = core.jobs[JOB].runs[0].tasks()
     first.next_run = 3
     first.failed = Failures(frozenset([FailedRun(1, "e7")]))
-    core.suspect(first, Suspicion(2, 5, named=(FELL, CUT_OFF)))
+    core.set_crash_history(first, CrashHistory(2, 5, identified_crashes=(FELL, CUT_OFF)))
     heir = read_by_next_owner(record(core))
     first, _ = heir.jobs[JOB].runs[0].tasks()
-    assert first.suspicion and first.suspicion.named == (FELL, CUT_OFF)
+    assert first.crash_history and first.crash_history.identified_crashes == (FELL, CUT_OFF)
     add_executor(heir, CUT_OFF.incarnation)
-    assert first.suspicion == Suspicion(1, 2, version=1)
-    assert first.failed.named == {FailedRun(1, "e7")}
+    assert first.crash_history == CrashHistory(1, 2, version=1)
+    assert first.failed.identified_runs == {FailedRun(1, "e7")}
 
 
 def test_a_life_counts_once_over_owners_and_loans() -> None:
@@ -99,16 +99,16 @@
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
     second.lent, second.loan = 1, 4
-    core.suspect(second, Suspicion(2, 5, named=(FELL, CUT_OFF)))
-    assert second.name.index == 1 and first.suspicion is None
+    core.set_crash_history(second, CrashHistory(2, 5, identified_crashes=(FELL, CUT_OFF)))
+    assert second.name.index == 1 and first.crash_history is None
     heir = read_by_next_owner(record(core))
     _, second = heir.jobs[JOB].runs[0].tasks()
     read = decode(*encode(Lent(JOB, 1, (loan_of(second),))))
     assert isinstance(read, Lent)
-    lent = as_lent(read.loans[0])
-    assert lent == Suspicion(2, 5)
-    assert one_more(lent, CUT_OFF, 7) == Suspicion(2, 5)
-    assert one_more(lent, Crash("e7", 5, 2), 7) == Suspicion(3, 7, 7)
+    lent = delegated_crash_history(read.loans[0])
+    assert lent == CrashHistory(2, 5)
+    assert add_crash(lent, CUT_OFF, 7) == CrashHistory(2, 5)
+    assert add_crash(lent, Crash("e7", 5, 2), 7) == CrashHistory(3, 7, 7)
 
 
 def test_the_next_owner_knows_which_run_nobody_knows_to_have_been_there() -> None:
@@ -118,15 +118,15 @@
     first, second = core.jobs[JOB].runs[0].tasks()
     first.next_run, second.lent, second.loan = 6, 1, 2
     for task in (first, second):
-        core.suspect(task, Suspicion(4, 7, named=(doubted, CUT_OFF)))
+        core.set_crash_history(task, CrashHistory(4, 7, identified_crashes=(doubted, CUT_OFF)))
     heir = read_by_next_owner(record(core))
     assert heir.finished == []
     _, second = heir.jobs[JOB].runs[0].tasks()
     read = decode(*encode(Lent(JOB, 1, (loan_of(second),))))
     assert isinstance(read, Lent)
-    lent = as_lent(read.loans[0])
-    assert lent and not lent.convicted
-    assert lent.last
+    lent = delegated_crash_history(read.loans[0])
+    assert lent and not lent.should_give_up
+    assert lent.at_crash_limit
 
 
 def test_an_earlier_version_passes_over_the_names_of_crashes() -> None:
@@ -134,7 +134,7 @@
     first, second = core.jobs[JOB].runs[0].tasks()
     first.next_run, second.lent, second.loan = 4, 1, 2
     for task in (first, second):
-        core.suspect(task, Suspicion(2, 5, named=(FELL,)))
+        core.set_crash_history(task, CrashHistory(2, 5, identified_crashes=(FELL,)))
     ((one, other),) = json.loads(record(core))
     assert (one[5:7], other[3:5]) == ([2, 5], [2, 5])
     assert one[7] == [], "no failed runs, as versions before read them"
--- a/tests/shard/test_crashes_that_were_none.py
+++ b/tests/shard/test_crashes_that_were_none.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from linkspan.shard.core import ShardCore
+from linkspan.shard.crash_history import CrashHistory
 from linkspan.shard.messages import EndedTask, EndKind, ExecutorReport, RunningTask, StopOrder
-from linkspan.shard.reports._crashes import VERDICT_S
-from linkspan.shard.suspicion import Suspicion
+from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan, report, started
@@ -101,9 +101,9 @@
     start_on(core, "life-12", 56.02)
     record = core.executors["life-12"].record
     fall(core, "life-12", 56.85, 57.01)
-    assert only_task(core).suspicion
+    assert only_task(core).crash_history
     core.list_executors([replace(record, draining=True, remaining_s=1.0)], 57.5)
-    assert only_task(core).suspicion is None
+    assert only_task(core).crash_history is None
     assert core.executor_crashes == [], "and it speaks for no other task, nor against its address"
 
 
@@ -116,10 +116,10 @@
     core.list_executors([], 5.0)
     core.on_silent("e0", 40.0)
     assert "e0" not in core.executors
-    assert only_task(core).suspicion
+    assert only_task(core).crash_history
     core.list_executors([record], 41.0)
     core.on_report("e0", ExecutorReport(41.2, (), ()), asked=41.1, now=41.2)
-    assert only_task(core).suspicion is None
+    assert only_task(core).crash_history is None
     assert core.executor_crashes == []
 
 
@@ -134,8 +134,8 @@
     core.on_report("e0@2", ExecutorReport(1.8, (row,), (), started_at_ms=2), asked=1.7, now=1.8)
     core.on_silent("e0@2", 1.9)
     empty(core, "e0@2", 3, asked=2.0, now=2.1)
-    known = only_task(core).suspicion
-    assert known and [crash.incarnation for crash in known.named] == ["e0@2"]
+    known = only_task(core).crash_history
+    assert known and [crash.incarnation for crash in known.identified_crashes] == ["e0@2"]
 
 
 def test_a_task_that_is_done_before_its_verdict_is_not_given_up() -> None:
@@ -147,13 +147,13 @@
     core.on_start_unsent(second, 10.0)
     task = core.find_task(first.task)
     assert task
-    core.suspect(task, Suspicion(1, 4))
+    core.set_crash_history(task, CrashHistory(1, 4))
     fall(core, "e0", 10.1, 10.2)
-    assert task.suspicion and task.suspicion.convicted
+    assert task.crash_history and task.crash_history.should_give_up
     add_executor(core, "e2")
     done = EndedTask(1, task.name, 2, EndKind.DONE, "")
     core.on_report("e2", ExecutorReport(10.4, (), (done,)), asked=10.3, now=10.4)
-    core.tick(10.2 + VERDICT_S)
+    core.tick(10.2 + GIVE_UP_DELAY_S)
     assert core.finished == []
 
 
@@ -172,4 +172,4 @@
     ended = EndedTask(1, first.task, first.run, EndKind.DONE, "")
     core.on_report("e0", ExecutorReport(10.7, (), (ended,)), asked=10.6, now=11.0)
     tasks = core.jobs[JOB].runs[0].tasks()
-    assert [task.suspicion is None for task in tasks] == [True, False]
+    assert [task.crash_history is None for task in tasks] == [True, False]
--- a/tests/shard/test_facts_that_owners_forget.py
+++ b/tests/shard/test_facts_that_owners_forget.py
@@ -14,10 +14,10 @@
 from linkspan.model.settings import Bounds
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.core import ShardCore
+from linkspan.shard.crash_history import CrashHistory
 from linkspan.shard.messages import EndedTask, EndKind, ExecutorReport, RunningTask, StartOrder
 from linkspan.shard.recovery.progress import decode_roster, encode_roster, encode_run
-from linkspan.shard.reports._crashes import VERDICT_S
-from linkspan.shard.suspicion import Suspicion
+from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import QUEUE, step
 from tests.shard.builders import JOB, add_executor, core_with, plan, report, started, submitted
@@ -126,7 +126,7 @@
     core.on_silent("e2", 20.05)
     heir = heir_of(core, as_it_was())
     core.on_gone("e2", 20.2, REPLACED)
-    core.tick(20.1 + VERDICT_S)
+    core.tick(20.1 + GIVE_UP_DELAY_S)
     assert core.finished == [], "its former owner, alive, goes on"
     assert heir.finished == []
 
@@ -137,7 +137,7 @@
     Others fell beside without cause, so the fourth crash was not to be the last.
     """
     core = core_with(step(1), executors=3)
-    core.suspect(only_task(core), Suspicion(3, 6))
+    core.set_crash_history(only_task(core), CrashHistory(3, 6))
     for name in ("e0", "e1", "e2"):
         report(core, name, asked=19.98, now=19.99)
     for name in ("e1", "e2"):
@@ -145,8 +145,8 @@
         core.on_gone(name, 20.05, REPLACED)
     _fall_under(core, "e0", 20.0)
     core.tick(25.0)
-    known = only_task(core).suspicion
-    assert known and known.crashes == 4
+    known = only_task(core).crash_history
+    assert known and known.crash_count == 4
     assert core.finished == [], "this owner goes on"
     assert heir_of(core, as_it_was()).finished == []
 
@@ -178,8 +178,8 @@
         _empty(core, "e0@1", 1, asked=30.5)
     for started_at_ms in (2, 3, 4):
         _empty(core, f"e0@{started_at_ms - 1}", started_at_ms, asked=30.0 + started_at_ms)
-    known = only_task(core).suspicion
-    assert known and (known.crashes, known.heard) == (1, 0)
+    known = only_task(core).crash_history
+    assert known and (known.crash_count, known.confirmed_count) == (1, 0)
 
 
 def test_a_start_without_an_answer_gives_no_job_up_over_lives_and_owners() -> None:
@@ -204,13 +204,13 @@
     core = core_with(step(1, standing=True), executors=1)
     _fall_under(core, "e0", 20.0)
     known = core.executor_crashes[-1]
-    assert only_task(core).suspicion
+    assert only_task(core).crash_history
     core.give_away(JOB, 1, [(0, 0)])
     ((lent,),) = core.loans(JOB).values()
     core._crashes.take_back(known.executor_id, "it left as planned")
-    assert only_task(core).suspicion is None
+    assert only_task(core).crash_history is None
     core.take_back(JOB, [lent], 30.0)
-    assert only_task(core).suspicion is None
+    assert only_task(core).crash_history is None
 
 
 def test_a_next_owner_knows_which_crash_was_taken_back_while_its_task_is_lent() -> None:
@@ -225,7 +225,7 @@
     core._crashes.take_back("e0", "it left as planned")
     heir = heir_of(core, as_it_was())
     heir.take_back(JOB, [lent], 30.0)
-    assert only_task(heir).suspicion is None
+    assert only_task(heir).crash_history is None
 
 
 # Failed runs and saved work
@@ -345,8 +345,8 @@
     core.on_report("e0@1", ExecutorReport(2.3, (row,), (), started_at_ms=1), asked=2.3, now=2.3)
     for started_at_ms in (2, 3, 4):
         _empty(core, f"e0@{started_at_ms - 1}", started_at_ms, asked=2.0 + started_at_ms)
-    known = only_task(core).suspicion
-    assert known and [crash.incarnation for crash in known.named] == ["e0@1"]
+    known = only_task(core).crash_history
+    assert known and [crash.incarnation for crash in known.identified_crashes] == ["e0@1"]
 
 
 def test_terms_behind_which_a_later_version_tells_more_are_read() -> None:
--- a/tests/shard/test_failed_jobs_told.py
+++ b/tests/shard/test_failed_jobs_told.py
@@ -40,7 +40,7 @@
     lines: list[Line] = []
     core = core_with(step(2))
     task = core.jobs[JOB].runs[0].steps[0].tasks[1]
-    task.next_run, task.failed = 4, Failures(unnamed=3)
+    task.next_run, task.failed = 4, Failures(unidentified=3)
     heir = core_with(step(1), log=lambda event, **fields: lines.append((event, fields)))
     heir.jobs.clear()
     record = {0: encode_run(core.jobs[JOB].runs[0])}
--- a/tests/shard/test_lives.py
+++ b/tests/shard/test_lives.py
@@ -470,4 +470,4 @@
     assert len(task.attempts) == 1, "the start may still be on its way"
     heir.on_gone("e0", 4.0, "another incarnation answers")
     assert not task.attempts
-    assert task.suspicion and task.suspicion.crashes == 1
+    assert task.crash_history and task.crash_history.crash_count == 1
--- a/tests/shard/test_starts_that_are_stopped.py
+++ b/tests/shard/test_starts_that_are_stopped.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from linkspan.shard.core import ShardCore
+from linkspan.shard.crash_history import CrashHistory
 from linkspan.shard.messages import ExecutorReport, StartOrder, StopOrder
 from linkspan.shard.orders._orders import LATE_START_S
-from linkspan.shard.suspicion import Suspicion
 from linkspan.shard.task import Task
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan
@@ -90,7 +90,7 @@
     """
     core = core_with(step(1, standing=True), executors=0)
     add_executor(core, "e0@1")
-    core.suspect(only_task(core), Suspicion(1, 4))
+    core.set_crash_history(only_task(core), CrashHistory(1, 4))
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, UNANSWERED_AT)
     empty(core, "e0@1", 1, asked=2.1)
