--- a/src/linkspan/jobs/catalog.py
+++ b/src/linkspan/jobs/catalog.py
@@ -8,15 +8,15 @@
 from linkspan.jobs.records import (
     Begun,
     Cancelled,
-    Dropped,
+    Delegated,
+    Delegation,
     Finished,
     JobRecord,
     JobState,
-    Lent,
-    Loan,
     Moved,
     Returned,
     Submitted,
+    Tombstone,
 )
 
 if TYPE_CHECKING:
@@ -31,8 +31,8 @@
         submitted: The submission that counts, ``None`` if only a later record is known.
         offset: Offset of that submission.
         moved: Shard that the job was moved to, and the offset of that record.
-        lent: Loans of standing tasks to other shards, by shard.
-        returned: Loans that those shards gave back, by shard.
+        delegated: Loans of standing tasks to other shards, by shard.
+        returned_delegations: Loans that those shards gave back, by shard.
         hosts: Hosts that accepted the job, each with a record of its own.
         begun: Whether a task of it was started.
         cancelled: Whether a caller cancelled it.
@@ -42,8 +42,8 @@
     submitted: Submitted | None = None
     offset: int = -1
     moved: tuple[int, int] | None = None
-    lent: dict[int, tuple[Loan, ...]] = field(default_factory=dict)
-    returned: dict[int, tuple[Loan, ...]] = field(default_factory=dict)
+    delegated: dict[int, tuple[Delegation, ...]] = field(default_factory=dict)
+    returned_delegations: dict[int, tuple[Delegation, ...]] = field(default_factory=dict)
     hosts: tuple[str, ...] = ()
     begun: bool = False
     cancelled: bool = False
@@ -62,10 +62,12 @@
         source = self.submitted or self.finished
         return source.shard if source else None
 
-    def open_loans(self, shard: int) -> tuple[Loan, ...]:
+    def open_delegations(self, shard: int) -> tuple[Delegation, ...]:
         """Return the loans to a shard that it has not given back."""
-        back = set(self.returned.get(shard, ()))
-        return tuple(loan for loan in self.lent.get(shard, ()) if loan not in back)
+        back = set(self.returned_delegations.get(shard, ()))
+        return tuple(
+            delegation for delegation in self.delegated.get(shard, ()) if delegation not in back
+        )
 
     @property
     def state(self) -> JobState:
@@ -103,7 +105,7 @@
     def of_shard(self, shard: int) -> Iterator[tuple[str, JobEntry]]:
         """Iterate over the jobs that live in a shard or lent tasks to it."""
         for job_id, entry in self._jobs.items():
-            if entry.known and (entry.shard == shard or shard in entry.lent):
+            if entry.known and (entry.shard == shard or shard in entry.delegated):
                 yield job_id, entry
 
     def apply(self, offset: int, record: JobRecord) -> str:
@@ -111,17 +113,17 @@
         if isinstance(record, Submitted):
             self._submitted(offset, record)
             return record.spec.job_id
-        if isinstance(record, Dropped):
+        if isinstance(record, Tombstone):
             self._dropped(record)
             return record.job_id
         entry = self._jobs.setdefault(record.job_id, JobEntry())
         if isinstance(record, Moved):
             if entry.moved is None or entry.moved[1] < offset:
                 entry.moved = (record.shard, offset)
-        elif isinstance(record, Lent):
-            entry.lent[record.shard] = _joined(entry.lent, record)
+        elif isinstance(record, Delegated):
+            entry.delegated[record.shard] = _joined(entry.delegated, record)
         elif isinstance(record, Returned):
-            entry.returned[record.shard] = _joined(entry.returned, record)
+            entry.returned_delegations[record.shard] = _joined(entry.returned_delegations, record)
         elif isinstance(record, Cancelled):
             entry.cancelled = True
         elif isinstance(record, Begun):
@@ -154,16 +156,16 @@
             entry.offset = offset
         self._count(job_id, entry)
 
-    def _dropped(self, record: Dropped) -> None:
+    def _dropped(self, record: Tombstone) -> None:
         entry = self._jobs.get(record.job_id)
         if entry is None:
             return
         if record.kind == "m":
             entry.moved = None
         elif record.kind == "l":
-            entry.lent.pop(int(record.part), None)
+            entry.delegated.pop(int(record.part), None)
         elif record.kind == "r":
-            entry.returned.pop(int(record.part), None)
+            entry.returned_delegations.pop(int(record.part), None)
         elif record.kind == "f" or (record.kind == "s" and entry.finished is None):
             # A submission is dropped before the end only if it was void.
             self._forget(record.job_id)
@@ -185,10 +187,12 @@
             self._waiting.get(entry.submitted.spec.queue, set()).discard(job_id)
 
 
-def _joined(known: dict[int, tuple[Loan, ...]], record: Lent | Returned) -> tuple[Loan, ...]:
+def _joined(
+    known: dict[int, tuple[Delegation, ...]], record: Delegated | Returned
+) -> tuple[Delegation, ...]:
     """Return the loans of a record and those known before.
 
     Loans are numbered and none is taken back but by its return, so nothing is lost if a
     record that was written earlier is done later than its successor.
     """
-    return tuple(dict.fromkeys((*known.get(record.shard, ()), *record.loans)))
+    return tuple(dict.fromkeys((*known.get(record.shard, ()), *record.delegations)))
--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -18,15 +18,15 @@
 from linkspan.jobs.records import (
     Begun,
     Cancelled,
-    Dropped,
+    Delegated,
+    Delegation,
     Finished,
     JobRecord,
     JobState,
-    Lent,
-    Loan,
     Moved,
     Returned,
     Submitted,
+    Tombstone,
 )
 from linkspan.jobs.spec import Demand, JobSpec, Schedule, StepSpec
 from linkspan.model.configuration import AdviceRule, QueueTerms
@@ -38,10 +38,10 @@
         return f"s:{record.spec.job_id}:{record.host}".encode(), _submitted(record)
     if isinstance(record, Moved):
         return f"m:{record.job_id}".encode(), orjson.dumps(record.shard)
-    if isinstance(record, Lent | Returned):
-        kind = "l" if isinstance(record, Lent) else "r"
-        loans = orjson.dumps([_loan_row(loan) for loan in record.loans])
-        return f"{kind}:{record.job_id}:{record.shard}".encode(), loans
+    if isinstance(record, Delegated | Returned):
+        kind = "l" if isinstance(record, Delegated) else "r"
+        delegations = orjson.dumps([_loan_row(delegation) for delegation in record.delegations])
+        return f"{kind}:{record.job_id}:{record.shard}".encode(), delegations
     if isinstance(record, Cancelled):
         return f"c:{record.job_id}".encode(), b"1"
     if isinstance(record, Begun):
@@ -87,10 +87,10 @@
     raise RecordError(f"job record {key!r:.90}: unknown kind")
 
 
-def _dropped(kind: str, job_id: str, part: str) -> Dropped:
+def _dropped(kind: str, job_id: str, part: str) -> Tombstone:
     if kind in _OF_SHARDS:
         int(part)
-    return Dropped(kind, job_id, part)
+    return Tombstone(kind, job_id, part)
 
 
 def _submitted(record: Submitted) -> bytes:
@@ -215,11 +215,11 @@
     return Finished(job_id, JobState(text(state)), whole(shard), number(at), text(queue))
 
 
-def _loans_from(fields: Any) -> tuple[Loan, ...]:
+def _loans_from(fields: Any) -> tuple[Delegation, ...]:
     return tuple(_loan_from(rows(row)) for row in rows(fields))
 
 
-def _loan_from(row: list[Any]) -> Loan:
+def _loan_from(row: list[Any]) -> Delegation:
     """Return a loan; earlier versions tell nothing of crashes, later ones may tell more."""
     step, index, number_, crashes, points, *more = [*row, 0, 0][: max(len(row), 5)]
     named = tuple(
@@ -227,14 +227,20 @@
         for incarnation, run, counts, known, *_ in map(rows, rows(more[0]) if more else ())
     )
     name = whole(step), whole(index), whole(number_)
-    return Loan(*name, whole(crashes), whole(points), named)
+    return Delegation(*name, whole(crashes), whole(points), named)
 
 
-def _loan_row(loan: Loan) -> list[Any]:
+def _loan_row(delegation: Delegation) -> list[Any]:
     """Return a loan's fields; those of crashes are left out where there were none."""
-    crashes = [loan.crash_count, loan.crash_score] if loan.crash_count else []
-    named = [[c.incarnation, c.run, c.score, c.certainty] for c in loan.identified_crashes]
-    return [loan.step, loan.index, loan.number, *crashes, *([named] if named else [])]
+    crashes = [delegation.crash_count, delegation.crash_score] if delegation.crash_count else []
+    named = [[c.incarnation, c.run, c.score, c.certainty] for c in delegation.identified_crashes]
+    return [
+        delegation.step,
+        delegation.index,
+        delegation.number,
+        *crashes,
+        *([named] if named else []),
+    ]
 
 
 _OF_SHARDS = frozenset(("l", "r"))
@@ -243,7 +249,7 @@
 _DECODERS: dict[str, Callable[[str, str, Any], JobRecord]] = {
     "s": lambda _job_id, host, fields: _submitted_from(fields, host),
     "m": lambda job_id, _part, shard: Moved(job_id, whole(shard)),
-    "l": lambda job_id, shard, fields: Lent(job_id, int(shard), _loans_from(fields)),
+    "l": lambda job_id, shard, fields: Delegated(job_id, int(shard), _loans_from(fields)),
     "r": lambda job_id, shard, fields: Returned(job_id, int(shard), _loans_from(fields)),
     "c": lambda job_id, _part, _fields: Cancelled(job_id),
     "b": lambda job_id, _part, _fields: Begun(job_id),
--- a/src/linkspan/jobs/records.py
+++ b/src/linkspan/jobs/records.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Loan:
+class Delegation:
     """One handing of a standing task to another shard.
 
     Attributes:
@@ -88,18 +88,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class Delegated:
     """Standing tasks of a job are looked after by another shard from here on.
 
     Attributes:
         job_id: The job.
         shard: The other shard.
-        loans: All loans to it that were not returned.
+        delegations: All loans to it that were not returned.
     """
 
     job_id: str
     shard: int
-    loans: tuple[Loan, ...]
+    delegations: tuple[Delegation, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,12 +109,12 @@
     Attributes:
         job_id: The job.
         shard: The other shard.
-        loans: All loans that it gave back.
+        delegations: All loans that it gave back.
     """
 
     job_id: str
     shard: int
-    loans: tuple[Loan, ...]
+    delegations: tuple[Delegation, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class Tombstone:
     """A key's record is no longer needed.
 
     Attributes:
@@ -166,4 +166,4 @@
     part: str = ""
 
 
-JobRecord = Submitted | Moved | Lent | Returned | Cancelled | Begun | Finished | Dropped
+JobRecord = Submitted | Moved | Delegated | Returned | Cancelled | Begun | Finished | Tombstone
--- a/src/linkspan/shard/_books.py
+++ b/src/linkspan/shard/_books.py
@@ -410,7 +410,7 @@
         if job.closing:
             return
         job.closing = True
-        if job.borrowed and state is not JobState.FAILED:
+        if job.delegated_here and state is not JobState.FAILED:
             # Its own shard writes the final record; what failed here it cannot know.
             return
         self.log(
@@ -427,7 +427,7 @@
 
     def finish_if_done(self, job: ShardJob) -> None:
         """Let a job succeed once all of its repetitions are done."""
-        if job.borrowed:
+        if job.delegated_here:
             return
         if len(job.runs) == job.spec.repetitions and all(run.done for run in job.runs.values()):
             self.decide(job, JobState.SUCCEEDED)
--- a/src/linkspan/shard/_reasons.py
+++ b/src/linkspan/shard/_reasons.py
@@ -41,7 +41,7 @@
 def origin(job: ShardJob) -> str:
     """Return how a job came to this owner."""
     came = "inherited" if job.inherited else "new"
-    if job.borrowed:
+    if job.delegated_here:
         return f"{came} borrowed"
     return f"{came} moved" if job.moved else came
 
@@ -65,7 +65,11 @@
     fields: dict[str, Any] = {"shard": books.shard, "token": books.token, "by": origin(job)}
     if job.inherited:
         fields["roster"] = roster_counts(books)
-    loans = {str(a.task.name.index): a.task.loan for a in attempts if a.task.loan}
-    if loans:
-        fields["loans"] = loans
+    delegations = {
+        str(a.task.name.index): a.task.delegation_number
+        for a in attempts
+        if a.task.delegation_number
+    }
+    if delegations:
+        fields["loans"] = delegations
     return fields
--- a/src/linkspan/shard/core.py
+++ b/src/linkspan/shard/core.py
@@ -28,7 +28,7 @@
 
 from linkspan.shard._books import Order, ShardBooks
 from linkspan.shard.attempt import FULL_PACE
-from linkspan.shard.handover._loans import Loans
+from linkspan.shard.handover._delegations import Delegations
 from linkspan.shard.intake._jobs import JobIntake
 from linkspan.shard.orders._orders import Orders
 from linkspan.shard.reports._adoption import Adoption
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
 
-    from linkspan.jobs.records import Loan, Submitted
+    from linkspan.jobs.records import Delegation, Submitted
     from linkspan.model.configuration import Configuration
     from linkspan.model.settings import Bounds
     from linkspan.shard.attempt import Attempt
@@ -91,7 +91,7 @@
             self, Ends(self), self._presence, self._successions, self._crashes
         )
         self._intake = JobIntake(self)
-        self._lending = Loans(self)
+        self._delegations = Delegations(self)
         self._dispatch = Orders(self)
 
     # Taking over
@@ -197,8 +197,8 @@
         moved: bool = False,
         begun: bool = False,
         progress: dict[int, bytes] | None = None,
-        borrowed: Iterable[Loan] | None = None,
-        lent: Mapping[int, Iterable[Loan]] | None = None,
+        delegated_here: Iterable[Delegation] | None = None,
+        delegated_elsewhere: Mapping[int, Iterable[Delegation]] | None = None,
     ) -> None:
         """Take in an accepted job.
 
@@ -209,9 +209,9 @@
             moved: Whether another shard gave it to this one.
             begun: Whether it is on record that a task of it was started.
             progress: Records of its repetitions, by number.
-            borrowed: Loans of its tasks to this shard, ``None`` if it lives here.
-            lent: Loans of its tasks to other shards as all hosts know them, for where its
-                own record of them is not readable.
+            delegated_here: Loans of its tasks to this shard, ``None`` if it lives here.
+            delegated_elsewhere: Loans of its tasks to other shards as all hosts know them, for
+                where its own record of them is not readable.
 
         Raises:
             RecordError: A progress record does not fit the job, which is taken in without it.
@@ -223,8 +223,8 @@
             moved=moved,
             begun=begun,
             progress=progress,
-            borrowed=borrowed,
-            lent=lent,
+            delegated_here=delegated_here,
+            delegated_elsewhere=delegated_elsewhere,
         )
 
     def release_due(self, wall: float, now: float) -> None:
@@ -261,29 +261,33 @@
 
     # Work of other shards
 
-    def borrow_more(self, job_id: str, loans: Iterable[Loan], now: float) -> None:
+    def accept_delegations(
+        self, job_id: str, delegations: Iterable[Delegation], now: float
+    ) -> None:
         """Take in all open loans of a job's tasks to this shard."""
-        self._lending.borrow_more(job_id, loans, now)
+        self._delegations.accept_delegations(job_id, delegations, now)
 
-    def give_away(self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]) -> JobRun | None:
+    def hand_over_tasks(
+        self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]
+    ) -> JobRun | None:
         """Stop looking after pending tasks of a job; return their repetition.
 
         A loan of a task that lives here gets the next number; a task that was lent to
         this shard goes back under the number that it came with.
         """
-        return self._lending.give_away(job_id, shard, tasks)
+        return self._delegations.hand_over_tasks(job_id, shard, tasks)
 
-    def take_back(self, job_id: str, returned: Iterable[Loan], now: float) -> None:
+    def reclaim_tasks(self, job_id: str, returned: Iterable[Delegation], now: float) -> None:
         """Look after tasks again whose loans were given back."""
-        self._lending.take_back(job_id, returned, now)
+        self._delegations.reclaim_tasks(job_id, returned, now)
 
-    def loans(self, job_id: str) -> dict[int, tuple[Loan, ...]]:
+    def delegations(self, job_id: str) -> dict[int, tuple[Delegation, ...]]:
         """Return the loans of a job's tasks that are out, by shard."""
-        return self._lending.loans(job_id)
+        return self._delegations.delegations(job_id)
 
     def remove_moved(self, job_id: str) -> None:
         """Forget a job that was moved to another shard."""
-        self._lending.remove_moved(job_id)
+        self._delegations.remove_moved(job_id)
 
     # Orders and their answers
 
--- a/src/linkspan/shard/crash_history.py
+++ b/src/linkspan/shard/crash_history.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from linkspan.jobs.crash import Crash
-    from linkspan.jobs.records import Loan
+    from linkspan.jobs.records import Delegation
 
 IMMEDIATE_CRASH_S = 0.5
 """Time from a run's begin to a crash that makes it most suspect. A query of death fails in
@@ -165,11 +165,15 @@
         return self.certain_count >= min_certain and self.crash_score >= GIVE_UP_SCORE
 
 
-def delegated_crash_history(loan: Loan) -> CrashHistory | None:
+def delegated_crash_history(delegation: Delegation) -> CrashHistory | None:
     """Return what a loan brings along, or brings back, of crashes under its task."""
     return (
-        CrashHistory(loan.crash_count, loan.crash_score, identified_crashes=loan.identified_crashes)
-        if loan.crash_count
+        CrashHistory(
+            delegation.crash_count,
+            delegation.crash_score,
+            identified_crashes=delegation.identified_crashes,
+        )
+        if delegation.crash_count
         else None
     )
 
--- a/src/linkspan/shard/handover/_loans.py
+++ b/src/linkspan/shard/handover/_delegations.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from linkspan.jobs.records import Loan
+from linkspan.jobs.records import Delegation
 from linkspan.shard.crash_history import delegated_crash_history, retract_crash
 from linkspan.shard.recovery.progress import key_of
 
@@ -17,7 +17,7 @@
     from linkspan.shard.task import Task
 
 
-class Loans:
+class Delegations:
     """Keeps track of work that is looked after by another shard than its own.
 
     Args:
@@ -28,23 +28,27 @@
         self._books = books
 
     def __repr__(self) -> str:
-        return f"Loans({self._books!r})"
+        return f"Delegations({self._books!r})"
 
-    def borrow_more(self, job_id: str, loans: Iterable[Loan], now: float) -> None:
+    def accept_delegations(
+        self, job_id: str, delegations: Iterable[Delegation], now: float
+    ) -> None:
         """Take in all open loans of a job's tasks to this shard."""
         job = self._books.jobs.get(job_id)
-        run = job.runs.get(0) if job and job.borrowed else None
+        run = job.runs.get(0) if job and job.delegated_here else None
         if run is None:
             return
-        for loan in loans:
-            task = run.steps[loan.step].tasks[loan.index]
-            if task.lent is not None and task.loan < loan.number:
-                task.lent = None
-                task.loan = loan.number
-                self._books.set_crash_history(task, delegated_crash_history(loan))
+        for delegation in delegations:
+            task = run.steps[delegation.step].tasks[delegation.index]
+            if task.managed_by is not None and task.delegation_number < delegation.number:
+                task.managed_by = None
+                task.delegation_number = delegation.number
+                self._books.set_crash_history(task, delegated_crash_history(delegation))
                 self._books.mark_ready(task, now)
 
-    def give_away(self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]) -> JobRun | None:
+    def hand_over_tasks(
+        self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]
+    ) -> JobRun | None:
         """Stop looking after pending tasks of a job; return their repetition.
 
         A loan of a task that lives here gets the next number; a task that was lent to
@@ -56,35 +60,38 @@
             return None
         for step, index in tasks:
             task = run.steps[step].tasks[index]
-            task.lent = shard
-            task.loan += 0 if job.borrowed else 1
+            task.managed_by = shard
+            task.delegation_number += 0 if job.delegated_here else 1
         self._books.touch(run)
         return run
 
-    def take_back(self, job_id: str, returned: Iterable[Loan], now: float) -> None:
+    def reclaim_tasks(self, job_id: str, returned: Iterable[Delegation], now: float) -> None:
         """Look after tasks again whose loans were given back."""
         job = self._books.jobs.get(job_id)
-        run = job.runs.get(0) if job and not job.borrowed else None
+        run = job.runs.get(0) if job and not job.delegated_here else None
         if run is None:
             return
-        for loan in returned:
-            task = run.steps[loan.step].tasks[loan.index]
-            if task.lent is not None and task.loan == loan.number:
-                task.given_back[task.lent] = loan.number
-                task.lent = None
-                self._books.set_crash_history(task, _brought_back(task, loan))
+        for delegation in returned:
+            task = run.steps[delegation.step].tasks[delegation.index]
+            if task.managed_by is not None and task.delegation_number == delegation.number:
+                task.returned_by[task.managed_by] = delegation.number
+                task.managed_by = None
+                self._books.set_crash_history(task, _brought_back(task, delegation))
                 self._books.touch(run)
                 self._books.mark_ready(task, now)
 
-    def loans(self, job_id: str) -> dict[int, tuple[Loan, ...]]:
+    def delegations(self, job_id: str) -> dict[int, tuple[Delegation, ...]]:
         """Return the loans of a job's tasks that are out, by shard."""
         job = self._books.jobs.get(job_id)
-        loans: dict[int, tuple[Loan, ...]] = {}
+        delegations: dict[int, tuple[Delegation, ...]] = {}
         for run in job.runs.values() if job else ():
             for task in run.tasks():
-                if task.lent is not None and task.loan:
-                    loans[task.lent] = (*loans.get(task.lent, ()), loan_of(task))
-        return loans
+                if task.managed_by is not None and task.delegation_number:
+                    delegations[task.managed_by] = (
+                        *delegations.get(task.managed_by, ()),
+                        last_delegation_of(task),
+                    )
+        return delegations
 
     def remove_moved(self, job_id: str) -> None:
         """Forget a job that was moved to another shard."""
@@ -98,21 +105,21 @@
                 self._books.advice.forget(step)
 
 
-def _brought_back(task: Task, loan: Loan) -> CrashHistory | None:
+def _brought_back(task: Task, delegation: Delegation) -> CrashHistory | None:
     """Return what a loan brings back of crashes, but for those that were none by now."""
-    known = delegated_crash_history(loan)
+    known = delegated_crash_history(delegation)
     for incarnation in task.retracted_crashes:
         known = known and retract_crash(known, incarnation, known.version)
     task.retracted_crashes.clear()
     return known
 
 
-def loan_of(task: Task) -> Loan:
+def last_delegation_of(task: Task) -> Delegation:
     """Return a task's last loan, with the crashes under it: the count goes with the task."""
     known = task.crash_history
-    name = task.name.step, task.name.index, task.loan
+    name = task.name.step, task.name.index, task.delegation_number
     return (
-        Loan(*name, known.crash_count, known.crash_score, known.identified_crashes)
+        Delegation(*name, known.crash_count, known.crash_score, known.identified_crashes)
         if known
-        else Loan(*name)
+        else Delegation(*name)
     )
--- a/src/linkspan/shard/handover/_handovers.py
+++ b/src/linkspan/shard/handover/_handovers.py
@@ -7,10 +7,10 @@
 
 from linkspan.clock import steady
 from linkspan.events import Event
-from linkspan.jobs.records import Lent, Moved, Returned
+from linkspan.jobs.records import Delegated, Moved, Returned
+from linkspan.shard.handover._delegations import last_delegation_of
 from linkspan.shard.handover._evidence import MoveEvidence
-from linkspan.shard.handover._given_back import GivenBack
-from linkspan.shard.handover._loans import loan_of
+from linkspan.shard.handover._returned_delegations import ReturnedDelegations
 from linkspan.shard.handover.rebalance import Rebalancer
 from linkspan.shard.handover.summary import summarize
 from linkspan.shard.recovery.progress import RunKey, encode_moved, encode_run, key_of
@@ -51,7 +51,7 @@
         self._proof = context.proof
         self._changes = context.changes
         self._summary_of = summary_of
-        self._given_back = GivenBack()
+        self._given_back = ReturnedDelegations()
         self._rebalancer = Rebalancer(
             self._core,
             summaries=self._other_summaries,
@@ -82,30 +82,32 @@
             await self.tell_moved(job_id, shard)
             return
         job = self._core.jobs.get(job_id)
-        run = self._core.give_away(job_id, shard, tasks)
+        run = self._core.hand_over_tasks(job_id, shard, tasks)
         if job is None or run is None:
             # It ended in the meantime.
             return
         await self._writer.write([Record(encode_run(run), key_of(run))])
-        if job.borrowed:
+        if job.delegated_here:
             await self._book.write([self._returned(job_id, run, tasks)])
-        elif loans := self._core.loans(job_id).get(shard):
-            await self._book.write([Lent(job_id, shard, loans)])
+        elif delegations := self._core.delegations(job_id).get(shard):
+            await self._book.write([Delegated(job_id, shard, delegations)])
         job.handing_over = False
 
     def _returned(self, job_id: str, run: JobRun, tasks: tuple[tuple[int, int], ...]) -> Returned:
         entry = self._book.catalog.get(job_id)
-        before = entry.returned.get(self._shard, ()) if entry else ()
-        loans = tuple(loan_of(run.steps[step].tasks[index]) for step, index in tasks)
+        before = entry.returned_delegations.get(self._shard, ()) if entry else ()
+        delegations = tuple(
+            last_delegation_of(run.steps[step].tasks[index]) for step, index in tasks
+        )
         self._given_back.keep_only(self._core.jobs)
-        return Returned(job_id, self._shard, self._given_back.add(job_id, before, loans))
+        return Returned(job_id, self._shard, self._given_back.add(job_id, before, delegations))
 
     async def tell_moved(self, job_id: str, shard: int) -> None:
         """Tell that a job lives in another shard now, and forget it."""
         offset = await self._book.write([Moved(job_id, shard)])
         self._log_move(Event.MOVE_TOLD, job_id, shard, offset)
         job = self._core.jobs.get(job_id)
-        if job is None or not job.borrowed:
+        if job is None or not job.delegated_here:
             # Otherwise it was lent back before this answer came.
             self._core.remove_moved(job_id)
             self._core.drop_progress(job_id, [0])
--- a/src/linkspan/shard/handover/_given_back.py
+++ b/src/linkspan/shard/handover/_returned_delegations.py
@@ -7,10 +7,10 @@
 if TYPE_CHECKING:
     from collections.abc import Container, Iterable
 
-    from linkspan.jobs.records import Loan
+    from linkspan.jobs.records import Delegation
 
 
-class GivenBack:
+class ReturnedDelegations:
     """Loans that this shard gave back, also those whose record it has not read yet.
 
     A record holds all loans that were given back, under one key: one that left some out
@@ -18,23 +18,27 @@
     """
 
     def __init__(self) -> None:
-        self._loans: dict[str, dict[Loan, None]] = {}
+        self._delegations: dict[str, dict[Delegation, None]] = {}
 
     def __repr__(self) -> str:
-        return f"GivenBack({len(self._loans)} jobs)"
+        return f"ReturnedDelegations({len(self._delegations)} jobs)"
 
-    def add(self, job_id: str, told: Iterable[Loan], loans: Iterable[Loan]) -> tuple[Loan, ...]:
+    def add(
+        self, job_id: str, told: Iterable[Delegation], delegations: Iterable[Delegation]
+    ) -> tuple[Delegation, ...]:
         """Return all loans of a job for its next record.
 
         Args:
             job_id: The job.
             told: Loans that the last record read holds.
-            loans: Loans that are given back now.
+            delegations: Loans that are given back now.
         """
-        known = self._loans.setdefault(job_id, {})
-        known.update(dict.fromkeys((*told, *loans)))
+        known = self._delegations.setdefault(job_id, {})
+        known.update(dict.fromkeys((*told, *delegations)))
         return tuple(known)
 
     def keep_only(self, job_ids: Container[str]) -> None:
         """Forget all other jobs."""
-        self._loans = {j: loans for j, loans in self._loans.items() if j in job_ids}
+        self._delegations = {
+            j: delegations for j, delegations in self._delegations.items() if j in job_ids
+        }
--- a/src/linkspan/shard/handover/rebalance.py
+++ b/src/linkspan/shard/handover/rebalance.py
@@ -111,7 +111,7 @@
         if not self._core.may_start(job, now):
             # What a former owner may have started here must not start elsewhere.
             return None
-        if job.borrowed:
+        if job.delegated_here:
             return self._give_back(job, step, pending, now)
         if not job.begun and not job.moved:
             return self._move(job, own, halls)
@@ -207,7 +207,7 @@
     What a step may not use (its spread limit, a label) is in the room that a hall tells of.
     So a hall that gave the task back comes after those that did not, or did longer ago.
     """
-    return sorted(halls, key=lambda shard: (task.given_back.get(shard, 0), -_room(halls[shard])))
+    return sorted(halls, key=lambda shard: (task.returned_by.get(shard, 0), -_room(halls[shard])))
 
 
 def _least(step: StepSpec) -> int:
--- a/src/linkspan/shard/intake/_feed.py
+++ b/src/linkspan/shard/intake/_feed.py
@@ -11,10 +11,10 @@
 
 if TYPE_CHECKING:
     from linkspan.jobs.catalog import JobEntry
-    from linkspan.jobs.records import Loan
+    from linkspan.jobs.records import Delegation
     from linkspan.shard._context import TenureContext
 
-MOST_LOANS_TOLD = 20
+MAX_LOGGED_DELEGATIONS = 20
 """Loans that a line names: a job may have lent hundreds of tasks, and each line that
 places one names its number, too."""
 
@@ -47,7 +47,7 @@
             self._core.on_finished(job_id)
         elif job_id in self._core.jobs:
             self._on_known_job(job_id, entry, now)
-        elif entry.shard == self._shard or self._shard in entry.lent:
+        elif entry.shard == self._shard or self._shard in entry.delegated:
             # A former owner that has not yet read of our claim may see it too.
             self.add_job(job_id, entry, now, inherited=self._core.adopting)
         self._changes.news()
@@ -64,7 +64,7 @@
         """Take a job in; a progress record that does not fit it is logged."""
         if entry.submitted is None:
             return
-        borrowed = None if entry.shard == self._shard else entry.open_loans(self._shard)
+        borrowed = None if entry.shard == self._shard else entry.open_delegations(self._shard)
         self._log.write(
             Event.JOB_TAKEN_IN,
             shard=self._shard,
@@ -89,8 +89,10 @@
                 moved=entry.moved is not None,
                 begun=entry.begun,
                 progress=progress,
-                borrowed=borrowed,
-                lent={s: entry.open_loans(s) for s in entry.lent if s != self._shard},
+                delegated_here=borrowed,
+                delegated_elsewhere={
+                    s: entry.open_delegations(s) for s in entry.delegated if s != self._shard
+                },
             )
         except RecordError as error:
             self._log.write(Event.RECORD_SKIPPED, partition="progress", error=str(error))
@@ -101,31 +103,32 @@
         if entry.cancelled:
             self._core.cancel_job(job_id)
         elif entry.shard == self._shard:
-            self.take_back(job_id, entry, now)
-        elif self._core.jobs[job_id].borrowed:
-            self._core.borrow_more(job_id, entry.open_loans(self._shard), now)
+            self.reclaim_tasks(job_id, entry, now)
+        elif self._core.jobs[job_id].delegated_here:
+            self._core.accept_delegations(job_id, entry.open_delegations(self._shard), now)
         elif self._core.jobs[job_id].handing_over:
             self._on_moved_job(job_id, entry, now)
 
     def _on_moved_job(self, job_id: str, entry: JobEntry, now: float) -> None:
         """Let go of a job whose move is told; the answer to its record may come later."""
         self._core.remove_moved(job_id)
-        if entry.open_loans(self._shard):
+        if entry.open_delegations(self._shard):
             self.add_job(job_id, entry, now, inherited=self._core.adopting)
 
-    def take_back(self, job_id: str, entry: JobEntry, now: float) -> None:
+    def reclaim_tasks(self, job_id: str, entry: JobEntry, now: float) -> None:
         """Look after the tasks again that other shards returned."""
-        for loans in entry.returned.values():
-            self._core.take_back(job_id, loans, now)
+        for delegations in entry.returned_delegations.values():
+            self._core.reclaim_tasks(job_id, delegations, now)
 
 
-def _handed_over(entry: JobEntry, borrowed: tuple[Loan, ...] | None) -> dict[str, Any]:
+def _handed_over(entry: JobEntry, borrowed: tuple[Delegation, ...] | None) -> dict[str, Any]:
     """Return the records by which other shards gave a job or tasks of it."""
     fields: dict[str, Any] = {}
     if entry.moved:
         fields["moved_at"] = entry.moved[1]
     if borrowed:
         fields["loans"] = {
-            f"{loan.step}.{loan.index}": loan.number for loan in islice(borrowed, MOST_LOANS_TOLD)
+            f"{delegation.step}.{delegation.index}": delegation.number
+            for delegation in islice(borrowed, MAX_LOGGED_DELEGATIONS)
         }
     return fields
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from linkspan.jobs.records import Loan, Submitted
+    from linkspan.jobs.records import Delegation, Submitted
     from linkspan.model.configuration import Configuration
     from linkspan.shard._books import ShardBooks
     from linkspan.shard.job_run import JobRun
@@ -49,8 +49,8 @@
         moved: bool = False,
         begun: bool = False,
         progress: dict[int, bytes] | None = None,
-        borrowed: Iterable[Loan] | None = None,
-        lent: Mapping[int, Iterable[Loan]] | None = None,
+        delegated_here: Iterable[Delegation] | None = None,
+        delegated_elsewhere: Mapping[int, Iterable[Delegation]] | None = None,
     ) -> None:
         """Take in an accepted job.
 
@@ -60,12 +60,12 @@
         job_id = submitted.spec.job_id
         if job_id in self._books.jobs:
             return
-        if job_id in self._books.left and borrowed is None:
+        if job_id in self._books.left and delegated_here is None:
             # A loan is newer than the move that it follows; other news is older.
             return
         # Begun by the records: its progress may not have become durable.
         job = ShardJob(submitted, inherited=inherited, moved=moved, begun=begun)
-        job.borrowed = borrowed is not None
+        job.delegated_here = delegated_here is not None
         if submitted.terms:
             job.take_terms(submitted.terms, submitted.version)
         self._books.jobs[job.job_id] = job
@@ -79,12 +79,14 @@
                     self._restore(run, progress[repetition], now)
                 except RecordError as error:
                     unread.append(str(error))
-                    run = job.runs[repetition] = self._unread_run(job, repetition, lent or {})
+                    run = job.runs[repetition] = self._unread_run(
+                        job, repetition, delegated_elsewhere or {}
+                    )
             elif inherited:
                 for task in run.tasks():
                     task.next_run = INHERITED_RUN_GAP
-            if borrowed is not None:
-                self._keep_only(run, borrowed, submitted.shard)
+            if delegated_here is not None:
+                self._keep_only(run, delegated_here, submitted.shard)
             self._books.open_steps(run, now)
         if job.limit_version is None and job.max_attempts is not None and self._books.configuration:
             # Whatever told it, a configuration that comes later is newer.
@@ -94,7 +96,7 @@
             raise RecordError("; ".join(unread))
 
     def _unread_run(
-        self, job: ShardJob, repetition: int, lent: Mapping[int, Iterable[Loan]]
+        self, job: ShardJob, repetition: int, lent: Mapping[int, Iterable[Delegation]]
     ) -> JobRun:
         """Return a repetition of which it is not known what was started or done.
 
@@ -107,11 +109,11 @@
         self._books.mark_begun(job)
         for task in run.tasks():
             task.next_run = UNREAD_RUN
-        for shard, loans in lent.items():
-            for loan in loans:
-                away = run.task(TaskName(job.job_id, repetition, loan.step, loan.index))
+        for shard, delegations in lent.items():
+            for delegation in delegations:
+                away = run.task(TaskName(job.job_id, repetition, delegation.step, delegation.index))
                 if away:
-                    away.lent, away.loan = shard, loan.number
+                    away.managed_by, away.delegation_number = shard, delegation.number
         self._books.touch(run)
         return run
 
@@ -144,17 +146,17 @@
                     why = {"reason": GIVE_UP_REASON, "task": short_name(task.name)}
                     self._books.decide(run.job, JobState.FAILED, **why)
 
-    def _keep_only(self, run: JobRun, loans: Iterable[Loan], home: int) -> None:
+    def _keep_only(self, run: JobRun, delegations: Iterable[Delegation], home: int) -> None:
         """Leave all tasks but the borrowed ones to the shard that the job lives in."""
-        ours = {(loan.step, loan.index): loan for loan in loans}
+        ours = {(delegation.step, delegation.index): delegation for delegation in delegations}
         for task in run.tasks():
-            loan = ours.get((task.name.step, task.name.index))
-            if loan is None:
-                task.lent = home
-            elif task.loan < loan.number:
-                task.lent = None
-                task.loan = loan.number
-                self._books.set_crash_history(task, delegated_crash_history(loan))
+            delegation = ours.get((task.name.step, task.name.index))
+            if delegation is None:
+                task.managed_by = home
+            elif task.delegation_number < delegation.number:
+                task.managed_by = None
+                task.delegation_number = delegation.number
+                self._books.set_crash_history(task, delegated_crash_history(delegation))
 
     def refresh_queue(self, job: ShardJob) -> None:
         """Take a job's limits from the configuration in force.
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from linkspan.clock import steady
-from linkspan.jobs.records import Begun, Dropped, Finished
+from linkspan.jobs.records import Begun, Finished, Tombstone
 from linkspan.shard.attempt import NEVER
 from linkspan.shard.recovery.progress import ROSTER_KEY, encode_roster, encode_run, key_of
 from linkspan.store.types import Record
@@ -173,11 +173,13 @@
         records: list[JobRecord] = [
             Finished(finished.job_id, finished.state, finished.shard, time.time(), finished.queue)
         ]
-        records += [Dropped("s", finished.job_id, host) for host in (entry.hosts if entry else ())]
-        records += [Dropped(kind, finished.job_id) for kind in ("c", "b", "m")]
         records += [
-            Dropped(kind, finished.job_id, str(shard))
-            for shard in (entry.lent if entry else ())
+            Tombstone("s", finished.job_id, host) for host in (entry.hosts if entry else ())
+        ]
+        records += [Tombstone(kind, finished.job_id) for kind in ("c", "b", "m")]
+        records += [
+            Tombstone(kind, finished.job_id, str(shard))
+            for shard in (entry.delegated if entry else ())
             for kind in ("l", "r")
         ]
         await self._book.write(records)
@@ -218,5 +220,5 @@
     A caller that sent the job again may have left a submission behind its end: without
     the end it would count as a new job.
     """
-    submissions = [Dropped("s", job_id, host) for host in entry.hosts]
-    return [*submissions, Dropped("f", job_id)]
+    submissions = [Tombstone("s", job_id, host) for host in entry.hosts]
+    return [*submissions, Tombstone("f", job_id)]
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -8,7 +8,7 @@
 from linkspan.clock import steady
 from linkspan.errors import LogGap, RecordError, StoreRefused, StoreUnanswered
 from linkspan.events import Event
-from linkspan.jobs.records import Lent, Returned
+from linkspan.jobs.records import Delegated, Returned
 from linkspan.shard.leases import inherited_lapse
 from linkspan.shard.recovery.progress import ROSTER_KEY, decode_roster, moved_to, parse_key
 from linkspan.shard.reports._watch import RETRY_S
@@ -160,7 +160,7 @@
             if entry.finished:
                 self._core.drop_progress(job_id, runs)
             elif self._is_moved(job_id, entry, runs):
-                if entry.open_loans(self._shard):
+                if entry.open_delegations(self._shard):
                     # Lent back since: the record of the move is older than the loan.
                     self._feed.add_job(job_id, entry, now, inherited=True)
             else:
@@ -191,13 +191,17 @@
     def _tell_again(self, job_id: str, entry: JobEntry) -> None:
         """Tell of loans and returns that a former owner may not have told."""
         if entry.shard != self._shard:
-            given = {loan for loans in self._core.loans(job_id).values() for loan in loans}
-            untold = given & set(entry.open_loans(self._shard))
+            given = {
+                delegation
+                for delegations in self._core.delegations(job_id).values()
+                for delegation in delegations
+            }
+            untold = given & set(entry.open_delegations(self._shard))
             if untold:
-                before = entry.returned.get(self._shard, ())
+                before = entry.returned_delegations.get(self._shard, ())
                 self._book.write([Returned(job_id, self._shard, (*before, *sorted(untold)))])
             return
-        self._feed.take_back(job_id, entry, steady())
-        for shard, loans in self._core.loans(job_id).items():
-            if set(loans) - set(entry.lent.get(shard, ())):
-                self._book.write([Lent(job_id, shard, loans)])
+        self._feed.reclaim_tasks(job_id, entry, steady())
+        for shard, delegations in self._core.delegations(job_id).items():
+            if set(delegations) - set(entry.delegated.get(shard, ())):
+                self._book.write([Delegated(job_id, shard, delegations)])
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -23,7 +23,7 @@
 EMPTY: tuple[Any, ...] = (0, 0, [], [], 0, 0, [])
 """What fields behind the first of a started task hold where there is nothing to tell."""
 
-EMPTY_LENT: tuple[Any, ...] = (0, 0, [], 0, [])
+EMPTY_DELEGATED: tuple[Any, ...] = (0, 0, [], 0, [])
 """The same for a task that another shard looks after."""
 
 
@@ -53,12 +53,12 @@
     """
     if task.done:
         return 1
-    if task.lent is not None:
+    if task.managed_by is not None:
         return _lent_row(task)
     attempts = [[a.run, *_place_fields(a)] for a in task.attempts]
-    if not attempts and task.next_run == 1 and not task.failures and not task.loan:
+    if not attempts and task.next_run == 1 and not task.failures and not task.delegation_number:
         return 0
-    first = [task.next_run, failures, task.checkpoint, attempts, task.loan]
+    first = [task.next_run, failures, task.checkpoint, attempts, task.delegation_number]
     failed = [
         [failed.run, *incarnation_fields(failed.incarnation)]
         for failed in sorted(task.failed.identified_runs)
@@ -81,9 +81,9 @@
 
 
 def _lent_row(task: Task) -> list[Any]:
-    first = [-1 - (task.lent or 0), task.loan, task.next_run]
+    first = [-1 - (task.managed_by or 0), task.delegation_number, task.next_run]
     excused = [incarnation_fields(incarnation) for incarnation in sorted(task.retracted_crashes)]
-    return [*first, *_without_last(EMPTY_LENT, *_crash_fields(task.crash_history), excused)]
+    return [*first, *_without_last(EMPTY_DELEGATED, *_crash_fields(task.crash_history), excused)]
 
 
 def _without_last(empty: tuple[Any, ...], *fields: Any) -> list[Any]:
@@ -125,14 +125,18 @@
     if whole(rows(row)[0], least=-MOST_WHOLE) < 0:
         _restore_lent(task, row)
         return
-    next_run, failures, checkpoint, attempts, loan, *more = row
+    next_run, failures, checkpoint, attempts, delegation, *more = row
     crashes, points, failed, named, put_off, saved_by, limit = _padded(EMPTY, more)
     if limit:
         most, *version = rows(limit)
         task.step.run.job.take_limit(whole(most), whole(version[0]) if version else None)
     task.crash_history = _suspicion(crashes, points, named, put_off)
     task.next_run = whole(next_run, least=1)
-    task.checkpoint, task.saved_by, task.loan = text(checkpoint), whole(saved_by), whole(loan)
+    task.checkpoint, task.saved_by, task.delegation_number = (
+        text(checkpoint),
+        whole(saved_by),
+        whole(delegation),
+    )
     task.attempts += [_attempt(task, rows(fields), now) for fields in rows(attempts)]
     # What may be running had not failed by then.
     below = min([task.next_run, *(attempt.run for attempt in task.attempts)])
@@ -140,10 +144,10 @@
 
 
 def _restore_lent(task: Task, row: list[Any]) -> None:
-    first, loan, next_run, *more = row
-    task.lent = -1 - first
-    task.loan, task.next_run = whole(loan), whole(next_run, least=1)
-    *crashes, excused = _padded(EMPTY_LENT, more)
+    first, delegation, next_run, *more = row
+    task.managed_by = -1 - first
+    task.delegation_number, task.next_run = whole(delegation), whole(next_run, least=1)
+    *crashes, excused = _padded(EMPTY_DELEGATED, more)
     task.crash_history = _suspicion(*crashes)
     task.retracted_crashes = {incarnation_name(rows(incarnation)) for incarnation in rows(excused)}
 
--- a/src/linkspan/shard/reports/_adoption.py
+++ b/src/linkspan/shard/reports/_adoption.py
@@ -64,7 +64,7 @@
             return
         if executor.clock is None:
             # Taken for lost, by this owner or a former one, it was only cut off.
-            self._crashes.take_back(executor.executor_id, "it answers")
+            self._crashes.retract(executor.executor_id, "it answers")
         self._books.hear(executor, report.clock_s, now)
         executor.reported_s = report.clock_s
         executor.reported_at = now
@@ -162,7 +162,7 @@
         A former owner's record of a lower run is older than the run: it starts one
         only after the one before has ended.
         """
-        if task.done or task.lent is not None or task.step.run.job.closing:
+        if task.done or task.managed_by is not None or task.step.run.job.closing:
             return False
         return all(a.phase is Phase.INHERITED and a.run < run for a in task.attempts)
 
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -97,9 +97,9 @@
                 task.crash_history.crash_of(incarnation) if task and task.crash_history else None
             )
             if task and crash and crash.run == end.run:
-                self._take_back(task, incarnation)
+                self._retract(task, incarnation)
 
-    def take_back(self, incarnation: str, reason: str) -> None:
+    def retract(self, incarnation: str, reason: str) -> None:
         """Take in that the end of a life was no crash: it speaks against nobody, and for nobody.
 
         Args:
@@ -115,7 +115,7 @@
             if t.crash_history and t.crash_history.crash_of(incarnation)
         ]
         for task in tasks:
-            self._take_back(task, incarnation)
+            self._retract(task, incarnation)
         if tasks:
             self._books.count("crashes_taken_back")
             names = [short_name(task.name) for task in tasks[:MOST_TOLD]]
@@ -127,11 +127,11 @@
                 tasks=names,
             )
 
-    def _take_back(self, task: Task, incarnation: str) -> None:
+    def _retract(self, task: Task, incarnation: str) -> None:
         if task.crash_history:
             run = task.step.run
             self._books.touch(run)
-            if task.lent is not None:
+            if task.managed_by is not None:
                 # The loan was told of it, and brings it back.
                 task.retracted_crashes.add(incarnation)
             self._books.set_crash_history(
--- a/src/linkspan/shard/reports/_presence.py
+++ b/src/linkspan/shard/reports/_presence.py
@@ -167,7 +167,7 @@
         """
         for record in records:
             if record.draining and record.executor_id not in self._books.executors:
-                self._crashes.take_back(record.executor_id, "it left as planned")
+                self._crashes.retract(record.executor_id, "it left as planned")
 
     def _named(self, record: ExecutorRecord) -> ExecutorRecord:
         """Return an entry under the name of the life that it is of.
--- a/src/linkspan/shard/shard_job.py
+++ b/src/linkspan/shard/shard_job.py
@@ -27,7 +27,7 @@
         closing: Whether its final state is decided; nothing is started any more.
         handing_over: Whether it is on its way to another shard.
         moved: Whether it came from another shard.
-        borrowed: Whether it lives in another shard that lent some of its tasks.
+        delegated_here: Whether it lives in another shard that lent some of its tasks.
         max_attempts: Failed runs of a task after which it has failed; ``None`` while its queue's
             limit is not known, which decides nothing.
         limit_version: Version of the configuration that told this limit, as far as it is known.
@@ -50,7 +50,7 @@
     closing: bool = False
     handing_over: bool = False
     moved: bool = False
-    borrowed: bool = False
+    delegated_here: bool = False
     max_attempts: int | None = None
     limit_version: int | None = None
     priority: int = 0
--- a/src/linkspan/shard/step_run.py
+++ b/src/linkspan/shard/step_run.py
@@ -85,13 +85,13 @@
 
         Only then may one of them be ended by our doing: others count as away, too.
         """
-        if self.run.job.borrowed:
+        if self.run.job.delegated_here:
             return False
         return all(task.at_work for task in self.tasks)
 
     def pending(self) -> list[Task]:
         """Return the tasks that wait for an attempt."""
-        return [t for t in self.tasks if not (t.done or t.attempts) and t.lent is None]
+        return [t for t in self.tasks if not (t.done or t.attempts) and t.managed_by is None]
 
     @property
     def open(self) -> bool:
--- a/src/linkspan/shard/task.py
+++ b/src/linkspan/shard/task.py
@@ -25,9 +25,9 @@
         done: Whether it has ended well; final.
         failed: Runs that ended failed; of standing tasks, which have no limit, none are kept.
         next_run: Number of its next run.
-        lent: Shard that looks after it instead of this one, if any.
-        loan: Number of its last loan, 0 before the first.
-        given_back: Number of the last loan that each shard gave back, by shard.
+        managed_by: Shard that looks after it instead of this one, if any.
+        delegation_number: Number of its last loan, 0 before the first.
+        returned_by: Number of the last loan that each shard gave back, by shard.
         checkpoint: Where the next run resumes.
         saved_by: Number of the run that saved that, as far as this owner heard.
         attempts: Its attempts that may be running.
@@ -47,9 +47,9 @@
     done: bool = False
     failed: Failures = NO_FAILURES
     next_run: int = 1
-    lent: int | None = None
-    loan: int = 0
-    given_back: dict[int, int] = field(default_factory=dict)
+    managed_by: int | None = None
+    delegation_number: int = 0
+    returned_by: dict[int, int] = field(default_factory=dict)
     checkpoint: str = ""
     saved_by: int = 0
     attempts: list[Attempt] = field(default_factory=list)
@@ -76,7 +76,7 @@
     @property
     def pending(self) -> bool:
         """Whether it waits for an attempt."""
-        return not self.done and not self.attempts and self.lent is None
+        return not self.done and not self.attempts and self.managed_by is None
 
     @property
     def at_work(self) -> bool:
@@ -114,4 +114,4 @@
     @property
     def displaced(self) -> bool:
         """Whether it has run before, here or in the shard that lent it."""
-        return self.next_run > 1 or self.loan > 0
+        return self.next_run > 1 or self.delegation_number > 0
--- a/tests/fuzz/test_shard_records.py
+++ b/tests/fuzz/test_shard_records.py
@@ -46,8 +46,8 @@
         assert type(task.failures) is int and task.failures >= 0
         for failed in task.failed.identified_runs:
             assert type(failed.run) is int and isinstance(failed.incarnation, str)
-        assert type(task.loan) is int and isinstance(task.checkpoint, str)
-        assert task.lent is None or (type(task.lent) is int and task.lent >= 0)
+        assert type(task.delegation_number) is int and isinstance(task.checkpoint, str)
+        assert task.managed_by is None or (type(task.managed_by) is int and task.managed_by >= 0)
         for attempt in task.attempts:
             assert type(attempt.run) is int and isinstance(attempt.executor_id, str)
 
--- a/tests/host/test_end_beside_recovery.py
+++ b/tests/host/test_end_beside_recovery.py
@@ -10,7 +10,7 @@
 
 from linkspan.jobs.job_book import JOBS
 from linkspan.jobs.record_codec import encode
-from linkspan.jobs.records import Dropped, Finished, JobState
+from linkspan.jobs.records import Finished, JobState, Tombstone
 from linkspan.shard.messages import EndKind
 from linkspan.store.types import Partition
 from tests.hall_executors import EXECUTORS
@@ -74,7 +74,7 @@
     entry = world.hosts[reader].host.book.catalog.get(job_id)
     assert entry
     records = [Finished(job_id, JobState.SUCCEEDED, 0, time.time(), world.specs[job_id].queue)]
-    for record in (*records, *(Dropped("s", job_id, host) for host in entry.hosts)):
+    for record in (*records, *(Tombstone("s", job_id, host) for host in entry.hosts)):
         world.store.put(JOBS, *encode(record))
     executor.report(end.number)
 
--- a/tests/host/test_first_read.py
+++ b/tests/host/test_first_read.py
@@ -22,7 +22,7 @@
 
 from linkspan.jobs.job_book import JOBS
 from linkspan.jobs.record_codec import encode
-from linkspan.jobs.records import Dropped, Finished, JobState, Submitted
+from linkspan.jobs.records import Finished, JobState, Submitted, Tombstone
 from linkspan.jobs.spec import JobSpec
 from tests.hall_world import HallWorld
 from tests.job_builders import step
@@ -43,7 +43,7 @@
         world.kill_host("east-host-0")
         _start_with_slow_listing(world, "east-host-0", SECOND_PAGE_S)
         await asyncio.sleep(SECOND_PAGE_S / 2)
-        for record in (_finished(spec), Dropped("s", spec.job_id, "life-x")):
+        for record in (_finished(spec), Tombstone("s", spec.job_id, "life-x")):
             world.store.put(JOBS, *encode(record))
         await world.ask("east-host-0", spec.job_id)
         await asyncio.sleep(2 * SECOND_PAGE_S)
--- a/tests/host/test_job_book.py
+++ b/tests/host/test_job_book.py
@@ -6,7 +6,7 @@
 
 from linkspan.jobs.job_book import JOBS, JobBook
 from linkspan.jobs.record_codec import encode
-from linkspan.jobs.records import Dropped, Moved, Submitted
+from linkspan.jobs.records import Moved, Submitted, Tombstone
 from linkspan.store.types import Page, Partition
 from tests.hall_world import HallWorld
 from tests.job_builders import step
@@ -121,7 +121,7 @@
         book.note_accepted(spec.job_id, offset)
         known = [book.knows(spec.job_id)]
         await book.refresh(fresh_s=0.0)
-        store.put(JOBS, *encode(Dropped("s", spec.job_id, "life-1")))
+        store.put(JOBS, *encode(Tombstone("s", spec.job_id, "life-1")))
         await book.refresh(fresh_s=0.0)
         known.append(book.knows(spec.job_id))
         # An answer to the write that comes after the record was read back.
--- a/tests/host/test_late_loans.py
+++ b/tests/host/test_late_loans.py
@@ -6,7 +6,7 @@
 
 from linkspan.jobs.job_book import JOBS
 from linkspan.jobs.record_codec import encode
-from linkspan.jobs.records import Lent
+from linkspan.jobs.records import Delegated
 from linkspan.shard.messages import TaskName
 from tests.hall_world import HallWorld
 from tests.job_builders import step
@@ -33,8 +33,8 @@
         assert _at_work(world, spec.job_id) == TASKS
         entry = world.hosts["east-host-0"].host.book.catalog.get(spec.job_id)
         assert entry
-        first, *others = entry.lent[BORROWER]
-        world.store.put(JOBS, *encode(Lent(spec.job_id, BORROWER, (first,))))
+        first, *others = entry.delegated[BORROWER]
+        world.store.put(JOBS, *encode(Delegated(spec.job_id, BORROWER, (first,))))
         owner = world.owner(BORROWER)
         assert owner
         world.kill_host(owner)
--- a/tests/host/test_removals_sent_again.py
+++ b/tests/host/test_removals_sent_again.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from linkspan.jobs.job_book import JOBS, JobBook
-from linkspan.jobs.records import Dropped, Finished, JobState, Submitted
+from linkspan.jobs.records import Finished, JobState, Submitted, Tombstone
 from linkspan.jobs.spec import JobSpec
 from tests.hall_world import HallWorld
 from tests.job_builders import step
@@ -24,7 +24,7 @@
         book = JobBook(StoreLink(store, "host"), HOST, Lines())  # type: ignore[arg-type]
         loops = [asyncio.create_task(loop) for loop in (book.follower.run(), book.writer.run())]
         spec, end = await _submitted(book)
-        await _write_twice(store, book, [end, Dropped("s", spec.job_id, HOST)])
+        await _write_twice(store, book, [end, Tombstone("s", spec.job_id, HOST)])
         kept = [entry.key for entry in (await StoreLink(store, "host").newest(JOBS)).entries]
         for loop in loops:
             loop.cancel()
@@ -42,9 +42,9 @@
         book = JobBook(StoreLink(store, "host"), HOST, Lines())  # type: ignore[arg-type]
         loops = [asyncio.create_task(loop) for loop in (book.follower.run(), book.writer.run())]
         spec, end = await _submitted(book)
-        submission = Dropped("s", spec.job_id, HOST)
+        submission = Tombstone("s", spec.job_id, HOST)
         await _write_twice(store, book, [end, submission])
-        await _write_twice(store, book, [submission, Dropped("f", spec.job_id)])
+        await _write_twice(store, book, [submission, Tombstone("f", spec.job_id)])
         store.forget(JOBS)
         late = JobBook(StoreLink(store, "late"), "life-2", Lines())  # type: ignore[arg-type]
         loops.append(asyncio.create_task(late.follower.run()))
@@ -65,7 +65,7 @@
 
 
 async def _write_twice(
-    store: MemoryStore, book: JobBook, records: list[Finished | Dropped]
+    store: MemoryStore, book: JobBook, records: list[Finished | Tombstone]
 ) -> None:
     """Write records whose first sending is not done and gets no answer."""
     store.silent.add("host")
--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -14,15 +14,15 @@
 from linkspan.jobs.records import (
     Begun,
     Cancelled,
-    Dropped,
+    Delegated,
+    Delegation,
     Finished,
     JobRecord,
     JobState,
-    Lent,
-    Loan,
     Moved,
     Returned,
     Submitted,
+    Tombstone,
 )
 from linkspan.jobs.spec import Demand, JobSpec, Schedule, StepSpec
 
@@ -47,7 +47,7 @@
     schedule=st.none() | st.builds(Schedule, st.integers(1, 5), st.floats(0, 9), st.floats(0, 9)),
 )
 loans = st.lists(
-    st.builds(Loan, st.integers(0, 3), st.integers(0, 9), st.integers(1, 5)), max_size=3
+    st.builds(Delegation, st.integers(0, 3), st.integers(0, 9), st.integers(1, 5)), max_size=3
 ).map(tuple)
 ids = st.sampled_from(("0a", "0b"))
 shards = st.integers(0, 11)
@@ -55,13 +55,13 @@
 records = st.one_of(
     submissions,
     st.builds(Moved, ids, shards),
-    st.builds(Lent, ids, shards, loans),
+    st.builds(Delegated, ids, shards, loans),
     st.builds(Returned, ids, shards, loans),
     st.builds(Cancelled, ids),
     st.builds(Begun, ids),
     st.builds(Finished, ids, st.sampled_from(JobState), shards, st.floats(0, 2e9), st.just("q")),
-    st.builds(Dropped, st.sampled_from("cbmf"), ids),
-    st.builds(Dropped, st.just("s"), ids, st.just("h1")),
+    st.builds(Tombstone, st.sampled_from("cbmf"), ids),
+    st.builds(Tombstone, st.just("s"), ids, st.just("h1")),
 )
 
 
@@ -104,7 +104,7 @@
     spec = JobSpec("0a", "q", "", (StepSpec(1),))
     catalog.apply(0, Submitted(spec, 0, 0.0, "h1"))
     catalog.apply(1, Finished("0a", JobState.SUCCEEDED, 0, 0.0, "q"))
-    catalog.apply(2, Dropped("s", "0a", "h1"))
+    catalog.apply(2, Tombstone("s", "0a", "h1"))
     catalog.apply(3, Submitted(spec, 1, 0.0, "h2"))
     entry = catalog.get("0a")
     assert entry and entry.state is JobState.SUCCEEDED
@@ -115,10 +115,10 @@
     catalog = JobCatalog()
     spec = JobSpec("0a", "q", "", (StepSpec(2, standing=True),))
     catalog.apply(0, Submitted(spec, 0, 0.0, "h1"))
-    catalog.apply(1, Lent("0a", 1, (Loan(0, 0, 1), Loan(0, 1, 1))))
-    catalog.apply(2, Returned("0a", 1, (Loan(0, 1, 1),)))
+    catalog.apply(1, Delegated("0a", 1, (Delegation(0, 0, 1), Delegation(0, 1, 1))))
+    catalog.apply(2, Returned("0a", 1, (Delegation(0, 1, 1),)))
     entry = catalog.get("0a")
-    assert entry and entry.open_loans(1) == (Loan(0, 0, 1),)
+    assert entry and entry.open_delegations(1) == (Delegation(0, 0, 1),)
 
 
 @pytest.mark.parametrize("key", [b"", b"s", b"x:0a", b"f:0a", b"l:0a:x"])
@@ -129,12 +129,16 @@
 
 def test_a_loan_tells_of_crashes_to_those_who_know_of_them() -> None:
     """Earlier versions read the first three fields; what they write has no others."""
-    lent = Lent("0a", 1, (Loan(0, 0, 1, crash_count=2, crash_score=6), Loan(0, 1, 1)))
+    lent = Delegated(
+        "0a", 1, (Delegation(0, 0, 1, crash_count=2, crash_score=6), Delegation(0, 1, 1))
+    )
     key, value = encode(lent)
     assert json.loads(value) == [[0, 0, 1, 2, 6], [0, 1, 1]]
     read = decode(key, value)
-    assert isinstance(read, Lent)
-    assert [(loan.crash_count, loan.crash_score) for loan in read.loans] == [(2, 6), (0, 0)]
+    assert isinstance(read, Delegated)
+    assert [
+        (delegation.crash_count, delegation.crash_score) for delegation in read.delegations
+    ] == [(2, 6), (0, 0)]
     earlier = decode(key, b"[[0,0,1]]")
-    assert isinstance(earlier, Lent) and earlier.loans == (Loan(0, 0, 1),)
-    assert earlier.loans[0] == lent.loans[0], "what names a loan is not what it tells"
+    assert isinstance(earlier, Delegated) and earlier.delegations == (Delegation(0, 0, 1),)
+    assert earlier.delegations[0] == lent.delegations[0], "what names a loan is not what it tells"
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -6,7 +6,7 @@
 
 from linkspan.jobs.crash import Crash
 from linkspan.jobs.record_codec import decode, encode
-from linkspan.jobs.records import Lent, Loan
+from linkspan.jobs.records import Delegated, Delegation
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.core import ShardCore
 from linkspan.shard.crash_history import (
@@ -167,9 +167,9 @@
     (restored,) = run.tasks()
     assert restored.crash_history
     assert [c.certainty for c in restored.crash_history.identified_crashes] == [1, 2, 0]
-    read = decode(*encode(Lent(JOB, 1, (Loan(0, 0, 1, 3, 10, named),))))
-    assert isinstance(read, Lent)
-    assert [c.certainty for c in read.loans[0].identified_crashes] == [1, 2, 0]
+    read = decode(*encode(Delegated(JOB, 1, (Delegation(0, 0, 1, 3, 10, named),))))
+    assert isinstance(read, Delegated)
+    assert [c.certainty for c in read.delegations[0].identified_crashes] == [1, 2, 0]
 
 
 def test_a_start_on_record_without_an_answer_is_no_run_that_was_heard_of() -> None:
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -56,7 +56,7 @@
     assert len(plan(core, 0.1)) == 2
     job = core.jobs[JOB]
     job.handing_over = True
-    core.give_away(JOB, 1, [(0, 2)])
+    core.hand_over_tasks(JOB, 1, [(0, 2)])
     plan(core, 0.2)
     job.handing_over = False
     add_executor(core, "e9")
--- a/tests/shard/test_crashes_on_record.py
+++ b/tests/shard/test_crashes_on_record.py
@@ -8,11 +8,11 @@
 
 from linkspan.jobs.crash import Crash
 from linkspan.jobs.record_codec import decode, encode
-from linkspan.jobs.records import JobState, Lent
+from linkspan.jobs.records import Delegated, JobState
 from linkspan.shard.core import ShardCore
 from linkspan.shard.crash_history import CrashHistory, add_crash, delegated_crash_history
 from linkspan.shard.failures import FailedRun, Failures
-from linkspan.shard.handover._loans import loan_of
+from linkspan.shard.handover._delegations import last_delegation_of
 from linkspan.shard.recovery.progress import encode_run, restore_run
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, submitted
@@ -34,7 +34,7 @@
     first, second = core.jobs[JOB].runs[0].tasks()
     first.next_run = 4
     core.set_crash_history(first, CrashHistory(3, 6, version=9))
-    second.lent, second.loan = 1, 4
+    second.managed_by, second.delegation_number = 1, 4
     core.set_crash_history(second, CrashHistory(1, 4))
     heir = read_by_next_owner(record(core))
     first, second = heir.jobs[JOB].runs[0].tasks()
@@ -58,7 +58,7 @@
     """It takes five fields of a row, or three of a lent one, and passes over the rest."""
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
-    first.next_run, second.lent, second.loan = 4, 1, 2
+    first.next_run, second.managed_by, second.delegation_number = 4, 1, 2
     plain = json.loads(record(core))
     core.set_crash_history(first, CrashHistory(2, 5))
     core.set_crash_history(second, CrashHistory(1, 4))
@@ -98,14 +98,14 @@
     """Guards against one crash that is counted by each who hears of it."""
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
-    second.lent, second.loan = 1, 4
+    second.managed_by, second.delegation_number = 1, 4
     core.set_crash_history(second, CrashHistory(2, 5, identified_crashes=(FELL, CUT_OFF)))
     assert second.name.index == 1 and first.crash_history is None
     heir = read_by_next_owner(record(core))
     _, second = heir.jobs[JOB].runs[0].tasks()
-    read = decode(*encode(Lent(JOB, 1, (loan_of(second),))))
-    assert isinstance(read, Lent)
-    lent = delegated_crash_history(read.loans[0])
+    read = decode(*encode(Delegated(JOB, 1, (last_delegation_of(second),))))
+    assert isinstance(read, Delegated)
+    lent = delegated_crash_history(read.delegations[0])
     assert lent == CrashHistory(2, 5)
     assert add_crash(lent, CUT_OFF, 7) == CrashHistory(2, 5)
     assert add_crash(lent, Crash("e7", 5, 2), 7) == CrashHistory(3, 7, 7)
@@ -116,15 +116,15 @@
     doubted = FELL._replace(confirmed=False)
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
-    first.next_run, second.lent, second.loan = 6, 1, 2
+    first.next_run, second.managed_by, second.delegation_number = 6, 1, 2
     for task in (first, second):
         core.set_crash_history(task, CrashHistory(4, 7, identified_crashes=(doubted, CUT_OFF)))
     heir = read_by_next_owner(record(core))
     assert heir.finished == []
     _, second = heir.jobs[JOB].runs[0].tasks()
-    read = decode(*encode(Lent(JOB, 1, (loan_of(second),))))
-    assert isinstance(read, Lent)
-    lent = delegated_crash_history(read.loans[0])
+    read = decode(*encode(Delegated(JOB, 1, (last_delegation_of(second),))))
+    assert isinstance(read, Delegated)
+    lent = delegated_crash_history(read.delegations[0])
     assert lent and not lent.should_give_up
     assert lent.at_crash_limit
 
@@ -132,7 +132,7 @@
 def test_an_earlier_version_passes_over_the_names_of_crashes() -> None:
     core = core_with(step(2))
     first, second = core.jobs[JOB].runs[0].tasks()
-    first.next_run, second.lent, second.loan = 4, 1, 2
+    first.next_run, second.managed_by, second.delegation_number = 4, 1, 2
     for task in (first, second):
         core.set_crash_history(task, CrashHistory(2, 5, identified_crashes=(FELL,)))
     ((one, other),) = json.loads(record(core))
--- a/tests/shard/test_facts_that_owners_forget.py
+++ b/tests/shard/test_facts_that_owners_forget.py
@@ -205,11 +205,11 @@
     _fall_under(core, "e0", 20.0)
     known = core.executor_crashes[-1]
     assert only_task(core).crash_history
-    core.give_away(JOB, 1, [(0, 0)])
-    ((lent,),) = core.loans(JOB).values()
-    core._crashes.take_back(known.executor_id, "it left as planned")
+    core.hand_over_tasks(JOB, 1, [(0, 0)])
+    ((lent,),) = core.delegations(JOB).values()
+    core._crashes.retract(known.executor_id, "it left as planned")
     assert only_task(core).crash_history is None
-    core.take_back(JOB, [lent], 30.0)
+    core.reclaim_tasks(JOB, [lent], 30.0)
     assert only_task(core).crash_history is None
 
 
@@ -220,11 +220,11 @@
     """
     core = core_with(step(1, standing=True), executors=1)
     _fall_under(core, "e0", 20.0)
-    core.give_away(JOB, 1, [(0, 0)])
-    ((lent,),) = core.loans(JOB).values()
-    core._crashes.take_back("e0", "it left as planned")
+    core.hand_over_tasks(JOB, 1, [(0, 0)])
+    ((lent,),) = core.delegations(JOB).values()
+    core._crashes.retract("e0", "it left as planned")
     heir = heir_of(core, as_it_was())
-    heir.take_back(JOB, [lent], 30.0)
+    heir.reclaim_tasks(JOB, [lent], 30.0)
     assert only_task(heir).crash_history is None
 
 
--- a/tests/shard/test_rebalance.py
+++ b/tests/shard/test_rebalance.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from linkspan.jobs.records import Loan
-from linkspan.shard.handover._given_back import GivenBack
+from linkspan.jobs.records import Delegation
+from linkspan.shard.handover._returned_delegations import ReturnedDelegations
 from linkspan.shard.handover.rebalance import SHORT_WAIT_S, WAIT_S, Rebalancer
 from linkspan.shard.handover.summary import HallSummary
 from linkspan.shard.messages import EndedTask, EndKind, TaskName
@@ -84,11 +84,11 @@
 
 def test_a_loan_given_back_is_in_every_later_record() -> None:
     """A second record before the first was read left the first's loan out: its task was lost."""
-    given = GivenBack()
-    assert given.add(JOB, (), [Loan(0, 1, 1)]) == (Loan(0, 1, 1),)
-    assert given.add(JOB, (), [Loan(0, 2, 1)]) == (Loan(0, 1, 1), Loan(0, 2, 1))
+    given = ReturnedDelegations()
+    assert given.add(JOB, (), [Delegation(0, 1, 1)]) == (Delegation(0, 1, 1),)
+    assert given.add(JOB, (), [Delegation(0, 2, 1)]) == (Delegation(0, 1, 1), Delegation(0, 2, 1))
     given.keep_only({"another"})
-    assert given.add(JOB, [Loan(0, 1, 1)], []) == (Loan(0, 1, 1),)
+    assert given.add(JOB, [Delegation(0, 1, 1)], []) == (Delegation(0, 1, 1),)
 
 
 def test_a_short_job_moves_soon_also_to_a_hall_where_best_effort_work_waits() -> None:
--- a/tests/shard/test_unread_progress.py
+++ b/tests/shard/test_unread_progress.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linkspan.errors import RecordError
-from linkspan.jobs.records import Loan
+from linkspan.jobs.records import Delegation
 from linkspan.shard.core import ShardCore
 from linkspan.shard.messages import ExecutorReport, RunningTask, TaskName
 from tests.job_builders import step
@@ -39,7 +39,7 @@
 
 
 def test_tasks_that_other_shards_were_told_of_stay_there() -> None:
-    core = with_unread_job(lent={1: (Loan(0, 2, 4),)})
-    assert core.loans("0b") == {1: (Loan(0, 2, 4),)}
+    core = with_unread_job(delegated_elsewhere={1: (Delegation(0, 2, 4),)})
+    assert core.delegations("0b") == {1: (Delegation(0, 2, 4),)}
     orders = [order for order in plan(core, 2.0) if order.task.job_id != JOB]
     assert sorted(order.task.index for order in orders) == [0, 1]
