--- a/bench/first_read.py
+++ b/bench/first_read.py
@@ -17,7 +17,7 @@
 from tests.standins.stored_jobs import fill_configuration, fill_executors, fill_jobs
 
 from linkspan.events import EventLog
-from linkspan.jobs.job_book import JOBS, JobBook
+from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.platform.records import configuration_from_wire, executor_from_wire
 from linkspan.platform.store import (
     CONFIG_KEY,
@@ -64,15 +64,15 @@
     connector = aiohttp.TCPConnector(limit=0, limit_per_host=12)
     async with aiohttp.ClientSession(connector=connector, auto_decompress=False) as session:
         store = StoreClient(session, address)
-        book = JobBook(store, "bench", log)
-        registry = ExecutorRegistry(store, EXECUTOR_RECORDS, executor_from_wire, log)
+        job_registry = JobRegistry(store, "bench", log)
+        executor_registry = ExecutorRegistry(store, EXECUTOR_RECORDS, executor_from_wire, log)
         configuration = ConfigurationWatch(
             store, CONFIG_RECORDS, CONFIG_KEY, configuration_from_wire, log
         )
-        followers = [book.follower, registry.follower, configuration.follower]
+        followers = [job_registry.follower, executor_registry.follower, configuration.follower]
         work = [asyncio.create_task(follower.run()) for follower in followers]
         began = time.monotonic()
-        asking = [asyncio.create_task(_ask(book)) for _ in range(askers)]
+        asking = [asyncio.create_task(_ask(job_registry)) for _ in range(askers)]
         while not all(follower.ready for follower in followers):
             await asyncio.sleep(0.02)
             if time.monotonic() - began > LIMIT_S:
@@ -84,9 +84,9 @@
     return took if took < LIMIT_S else None
 
 
-async def _ask(book: JobBook) -> None:
+async def _ask(job_registry: JobRegistry) -> None:
     while True:
-        await book.look_up("0" * 16)
+        await job_registry.look_up("0" * 16)
         await asyncio.sleep(1.0)
 
 
--- a/src/linkspan/host/front.py
+++ b/src/linkspan/host/front.py
@@ -15,14 +15,14 @@
 from linkspan.events import Event
 from linkspan.host._impossible import oversized_step
 from linkspan.host.caller_waits import LEAST_WAIT_S, CallerWaits
-from linkspan.jobs.job_book import REFRESH_S
+from linkspan.jobs.job_registry import REFRESH_S
 from linkspan.jobs.records import Cancelled, JobState, Submitted
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
     from linkspan.events import EventLog
-    from linkspan.jobs.job_book import JobBook
+    from linkspan.jobs.job_registry import JobRegistry
     from linkspan.jobs.spec import Demand, JobSpec
     from linkspan.metrics import HostMetrics
     from linkspan.model.configuration import Queue
@@ -78,7 +78,7 @@
     """Answers callers.
 
     Args:
-        book: The jobs.
+        job_registry: The jobs.
         configuration: The configuration in force.
         form: Form of bodies.
         choose_shard: Names the shard for a new job.
@@ -90,7 +90,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        job_registry: JobRegistry,
         configuration: ConfigurationWatch,
         form: CallerFormat,
         *,
@@ -100,7 +100,7 @@
         log: EventLog,
         metrics: HostMetrics,
     ) -> None:
-        self._book = book
+        self._job_registry = job_registry
         self._configuration = configuration
         self._form = form
         self._choose_shard = choose_shard
@@ -196,7 +196,7 @@
             body: The job as sent.
             deadline: Steady time by which the caller wants an answer.
         """
-        if self._book.knows(job_id):
+        if self._job_registry.knows(job_id):
             self._log.write(Event.JOB_ACCEPTED, job=job_id, queue=queue.name, known=True)
             return _json(200, b"{}")
         try:
@@ -205,10 +205,10 @@
             return _json(400, b'{"error":"invalid job"}', reason=str(error))
         write = self._submitting.get(job_id)
         if write is None:
-            if not self._book.follower.ready:
+            if not self._job_registry.follower.ready:
                 # Another host may have accepted it, for another hall.
                 return self._refuse(job_id, queue, "job records not read yet")
-            if not self._book.takes_writes:
+            if not self._job_registry.takes_writes:
                 return self._refuse(job_id, queue, "store is away")
             oversized = oversized_step(spec, self._capacities(queue.service))
             if oversized is not None:
@@ -220,7 +220,7 @@
         shard = self._choose_shard(spec, queue)
         version = self._version_of(queue)
         record = Submitted(spec, shard, time.time(), self._incarnation, queue.terms, version)
-        write = self._book.write([record], patient=False)
+        write = self._job_registry.write([record], patient=False)
         self._submitting[spec.job_id] = write
         write.add_done_callback(lambda done: self._on_written(spec.job_id, done))
         return write
@@ -239,7 +239,7 @@
         """
         self._submitting.pop(job_id, None)
         if not done.cancelled() and done.exception() is None:
-            self._book.note_accepted(job_id, done.result())
+            self._job_registry.note_accepted(job_id, done.result())
 
     async def _await_write(
         self, write: asyncio.Future[int], job_id: str, queue: Queue, deadline: float
@@ -289,7 +289,7 @@
             job_id: The job.
             deadline: Steady time by which the caller wants an answer.
         """
-        entry, fresh = await self._book.look_up(job_id, limit_s=_wait_until(deadline))
+        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_wait_until(deadline))
         if entry:
             return _json(200, self._form.state(entry.state))
         if not fresh:
@@ -300,12 +300,12 @@
 
     async def cancel(self, job_id: str, deadline: float) -> web.Response:
         """Cancel a job and answer once that is kept."""
-        entry, fresh = await self._book.look_up(job_id, limit_s=_wait_until(deadline))
+        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_wait_until(deadline))
         if entry is None:
             return _json(410, b"{}") if fresh else _unavailable("job records not read to their end")
         if entry.state.final:
             return _json(200, b"{}")
-        write = self._book.write([Cancelled(job_id)])
+        write = self._job_registry.write([Cancelled(job_id)])
         try:
             async with self._waits.until(max(deadline, steady() + LEAST_WAIT_S)):
                 await asyncio.shield(write)
@@ -324,10 +324,10 @@
             queue: The queue.
             deadline: Steady time by which the caller wants an answer.
         """
-        await self._book.refresh(limit_s=min(_wait_until(deadline), REFRESH_S))
-        if steady() - self._book.follower.synced_at > COUNT_AGE_S:
+        await self._job_registry.refresh(limit_s=min(_wait_until(deadline), REFRESH_S))
+        if steady() - self._job_registry.follower.synced_at > COUNT_AGE_S:
             return _unavailable("job records not read lately")
-        return _json(200, self._form.waiting(self._book.catalog.waiting(queue.name)))
+        return _json(200, self._form.waiting(self._job_registry.catalog.waiting(queue.name)))
 
 
 def _wait_until(deadline: float) -> float:
--- a/src/linkspan/host/host.py
+++ b/src/linkspan/host/host.py
@@ -13,7 +13,7 @@
 from linkspan.host.front import Front
 from linkspan.host.shards import ShardChooser
 from linkspan.host.sizes import ExecutorSizes
-from linkspan.jobs.job_book import JobBook
+from linkspan.jobs.job_registry import JobRegistry
 from linkspan.shard.registry import ConfigurationWatch, ExecutorRegistry
 from linkspan.store.metered import MeteredStore
 
@@ -118,8 +118,8 @@
         self._follows_executors = False
         self._slowness = Slowness(loaded_s)
         self._sizes = ExecutorSizes(len(settings.halls))
-        self.book = JobBook(adapter.store, incarnation, log)
-        self.registry = ExecutorRegistry(
+        self.job_registry = JobRegistry(adapter.store, incarnation, log)
+        self.executor_registry = ExecutorRegistry(
             adapter.store,
             adapter.executor_records,
             adapter.decode_executor,
@@ -148,7 +148,7 @@
             for shard in range(len(settings.halls))
         ]
         self.front = Front(
-            self.book,
+            self.job_registry,
             self.configuration,
             adapter.bodies,
             choose_shard=ShardChooser(settings, self._summary_of).choose,
@@ -157,10 +157,10 @@
             log=log,
             metrics=metrics,
         )
-        self.registry.follower.pause_s = OWNER_LISTING_PAUSE_S
-        self.registry.pause()
-        self.registry.on_change = self._on_executors
-        self.configuration.listen(lambda _configuration: self._on_executors())
+        self.executor_registry.follower.pause_s = OWNER_LISTING_PAUSE_S
+        self.executor_registry.pause()
+        self.executor_registry.on_change = self._on_executors
+        self.configuration.subscribe(lambda _configuration: self._on_executors())
 
     def __repr__(self) -> str:
         return f"Host({self._settings.name!r})"
@@ -168,7 +168,7 @@
     @property
     def knows_all(self) -> bool:
         """Whether the configuration and the jobs were read once."""
-        return self.configuration.current is not None and self.book.follower.ready
+        return self.configuration.current is not None and self.job_registry.follower.ready
 
     @property
     def ready(self) -> bool:
@@ -184,10 +184,10 @@
         """
         async with asyncio.TaskGroup() as group:
             group.create_task(self.configuration.follower.run())
-            group.create_task(self.book.follower.run())
-            group.create_task(self.book.writer.run())
-            group.create_task(self.registry.follower.run())
-            group.create_task(self.registry.expire_loop())
+            group.create_task(self.job_registry.follower.run())
+            group.create_task(self.job_registry.writer.run())
+            group.create_task(self.executor_registry.follower.run())
+            group.create_task(self.executor_registry.expire_loop())
             group.create_task(self._adapt())
             for candidate in self.candidates:
                 group.create_task(candidate.run())
@@ -233,18 +233,18 @@
             executors=self._adapter.executors,
             machines=self._adapter.machines,
             policy=self._adapter.policy,
-            book=self.book,
-            registry=self.registry,
+            job_registry=self.job_registry,
+            executor_registry=self.executor_registry,
             configuration=self.configuration,
             shard=shard,
             summary_of=self._summary_of,
             log=self._log,
             metrics=self._metrics,
         )
-        self.book.follower.pause_s = OWNER_JOBS_PAUSE_S
+        self.job_registry.follower.pause_s = OWNER_JOBS_PAUSE_S
         if not self._follows_executors:
             self._follows_executors = True
-            self.registry.resume()
+            self.executor_registry.resume()
         # Also of this hall itself: a new owner goes on with what its predecessor told.
         for told in range(len(self._settings.halls)):
             if summary := self._summary_of(told):
@@ -262,10 +262,10 @@
         """Read often where a decision waits for it, seldom elsewhere, to save calls."""
         while True:
             owning = any(candidate.tenure for candidate in self.candidates)
-            self.book.follower.pause_s = OWNER_JOBS_PAUSE_S if owning else JOBS_PAUSE_S
+            self.job_registry.follower.pause_s = OWNER_JOBS_PAUSE_S if owning else JOBS_PAUSE_S
             if not owning and self._follows_executors:
                 self._follows_executors = False
-                self.registry.pause()
+                self.executor_registry.pause()
             may_claim = self.knows_all and not self._draining
             if may_claim:
                 for candidate in self.candidates:
--- a/src/linkspan/jobs/job_book.py
+++ b/src/linkspan/jobs/job_registry.py
@@ -35,7 +35,7 @@
 that is well answers in a fiftieth of it, and who asks has executors' leases to renew."""
 
 
-class JobBook:
+class JobRegistry:
     """Follows the job records and writes new ones.
 
     Args:
@@ -71,14 +71,14 @@
         )
 
     def __repr__(self) -> str:
-        return f"JobBook({self.catalog!r})"
+        return f"JobRegistry({self.catalog!r})"
 
     @property
     def takes_writes(self) -> bool:
         """Whether the store took the last record, or has answered since it did not."""
         return self.writer.healthy or self.follower.heard_at > self.writer.failed_at
 
-    def listen(self, listener: Callable[[str], None]) -> Callable[[], None]:
+    def subscribe(self, listener: Callable[[str], None]) -> Callable[[], None]:
         """Call a listener with the id of each job that changes; return the way to end it."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
--- a/src/linkspan/jobs/spec.py
+++ b/src/linkspan/jobs/spec.py
@@ -133,7 +133,7 @@
     steps: tuple[StepSpec, ...]
     schedule: Schedule | None = None
 
-    def chains(self, lengths: Sequence[float]) -> tuple[float, ...]:
+    def longest_paths_to(self, lengths: Sequence[float]) -> tuple[float, ...]:
         """Return, for each step, the time of the longest chain that ends with it.
 
         Args:
@@ -145,7 +145,7 @@
             ends.append(before + length)
         return tuple(ends)
 
-    def after(self, lengths: Sequence[float]) -> tuple[float, ...]:
+    def longest_paths_from(self, lengths: Sequence[float]) -> tuple[float, ...]:
         """Return, for each step, the time of the longest chain that begins with it.
 
         Args:
--- a/src/linkspan/shard/_changes.py
+++ b/src/linkspan/shard/_changes.py
@@ -39,12 +39,12 @@
     def __repr__(self) -> str:
         return f"Changes({self._core!r})"
 
-    def news(self) -> None:
+    def notify(self) -> None:
         """Take in that the core may have changed."""
         self.wake.set()
-        self.hand_out_records()
+        self.notify_writers()
 
-    def hand_out_records(self) -> None:
+    def notify_writers(self) -> None:
         """Wake the loops that write records, if there are any to write."""
         if self._core.pressing or self._core.dropped or self.roster_changed():
             self.dirty.set()
--- a/src/linkspan/shard/_context.py
+++ b/src/linkspan/shard/_context.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from linkspan.events import EventLog
-    from linkspan.jobs.job_book import JobBook
+    from linkspan.jobs.job_registry import JobRegistry
     from linkspan.metrics import HostMetrics
     from linkspan.model.settings import HostSettings
     from linkspan.shard._changes import Changes
@@ -95,8 +95,8 @@
         writer: Writes there under the tenure's token.
         calls: Calls to executors, each life under its token.
         machines: The machine service, where there is one.
-        book: The jobs.
-        registry: The registered executors.
+        job_registry: The jobs.
+        executor_registry: The registered executors.
         configuration: The configuration in force.
         log: Where events go.
         metrics: Where counts and times go.
@@ -114,8 +114,8 @@
     writer: GroupWriter
     calls: ExecutorCalls
     machines: MachineService | None
-    book: JobBook
-    registry: ExecutorRegistry
+    job_registry: JobRegistry
+    executor_registry: ExecutorRegistry
     configuration: ConfigurationWatch
     log: EventLog
     metrics: HostMetrics
--- a/src/linkspan/shard/_line_limit.py
+++ b/src/linkspan/shard/_log_rate_limiter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class LineLimit:
+class LogRateLimiter:
     """Lets so many lines pass in a second and counts the others.
 
     Args:
@@ -17,7 +17,7 @@
         self._left_out = 0
 
     def __repr__(self) -> str:
-        return f"LineLimit({self._most})"
+        return f"LogRateLimiter({self._most})"
 
     def take(self, now: float) -> int | None:
         """Return how many lines were left out since the last one, ``None`` to leave this out.
--- a/src/linkspan/shard/_reasons.py
+++ b/src/linkspan/shard/_reasons.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.attempt import Attempt
     from linkspan.shard.messages import TaskName
     from linkspan.shard.shard_job import ShardJob
@@ -46,25 +46,25 @@
     return f"{came} moved" if job.moved else came
 
 
-def roster_counts(books: ShardBooks) -> dict[str, int]:
+def roster_counts(state: ShardState) -> dict[str, int]:
     """Return how the executors of former owners were heard of; ``open`` ones were not."""
-    counts = dict(books.settled)
-    if books.adopting_ids:
-        counts["open"] = len(books.adopting_ids)
+    counts = dict(state.settled)
+    if state.adopting_ids:
+        counts["open"] = len(state.adopting_ids)
     return counts
 
 
-def start_reason(books: ShardBooks, job: ShardJob, attempts: Iterable[Attempt]) -> dict[str, Any]:
+def start_reason(state: ShardState, job: ShardJob, attempts: Iterable[Attempt]) -> dict[str, Any]:
     """Return the fields that tell why this owner may start tasks of a job.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
         job: The job.
         attempts: What is started.
     """
-    fields: dict[str, Any] = {"shard": books.shard, "token": books.token, "by": origin(job)}
+    fields: dict[str, Any] = {"shard": state.shard, "token": state.token, "by": origin(job)}
     if job.inherited:
-        fields["roster"] = roster_counts(books)
+        fields["roster"] = roster_counts(state)
     delegations = {
         str(a.task.name.index): a.task.delegation_number
         for a in attempts
--- a/src/linkspan/shard/_books.py
+++ b/src/linkspan/shard/_shard_state.py
@@ -9,14 +9,14 @@
 from linkspan.jobs.records import Finished, JobState
 from linkspan.shard._reasons import short_name
 from linkspan.shard.attempt import NEVER, Phase
-from linkspan.shard.colocation.colocation import ColocationBook
+from linkspan.shard.colocation.interference import InterferenceEstimator
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.leases import LeaseClock
 from linkspan.shard.messages import PaceOrder, StartOrder, StopOrder
 from linkspan.shard.ownership._tokens import TenureTokens
-from linkspan.shard.planning.advice import AdviceBook
-from linkspan.shard.planning.lengths import LengthBook
-from linkspan.shard.reports.health import HealthBook
+from linkspan.shard.planning.advice import AdviceCache
+from linkspan.shard.planning.durations import DurationEstimator
+from linkspan.shard.reports.health import ExecutorHealth
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -45,7 +45,7 @@
 hosts are."""
 
 
-class ShardBooks:
+class ShardState:
     """State of one tenure of a shard, and the changes that keep its parts in step.
 
     Args:
@@ -68,9 +68,9 @@
         jobs: Jobs that the shard looks after, by id.
         left: Jobs that ended here or moved away: older records of them may still be read.
         health: What is known of the executors' soundness.
-        colocation: What is known of how tasks disturb each other.
+        interference: What is known of how tasks disturb each other.
         advice: Tickets of the queues' placement policies.
-        lengths: What is known of how long steps take.
+        durations: What is known of how long steps take.
         configuration: The configuration in force, ``None`` before the first.
         orders: Orders to hand out, in order.
         finished: Final records to write.
@@ -110,10 +110,10 @@
         self.settled: Counter[str] = Counter()
         self.jobs: dict[str, ShardJob] = {}
         self.left: set[str] = set()
-        self.health = HealthBook()
-        self.colocation = ColocationBook()
-        self.advice = AdviceBook()
-        self.lengths = LengthBook()
+        self.health = ExecutorHealth()
+        self.interference = InterferenceEstimator()
+        self.advice = AdviceCache()
+        self.durations = DurationEstimator()
         self.configuration: Configuration | None = None
         self.orders: list[Order] = []
         self.finished: list[Finished] = []
@@ -247,7 +247,7 @@
         """Count an attempt out at its task and its executor."""
         if attempt in attempt.task.attempts:
             attempt.task.attempts.remove(attempt)
-        self.colocation.forget(attempt)
+        self.interference.forget(attempt)
         executor = self.executors.get(attempt.executor_id)
         if executor:
             executor.remove(attempt)
@@ -370,7 +370,7 @@
         if task.needs_isolation and attempt.carried_over:
             # It may be what ended the life before: it is placed anew, apart from others.
             return False
-        if attempt.found and (len(task.attempts) > 1 or job.advised):
+        if attempt.found and (len(task.attempts) > 1 or job.requires_ticket):
             # On record, neither a copy is told from what it runs beside, nor a ticket.
             return False
         suits = executor.record.takes_new_work and executor.record.service == job.service
--- a/src/linkspan/shard/colocation/_news.py
+++ b/src/linkspan/shard/colocation/_effect_selector.py
@@ -22,16 +22,16 @@
 """Effects told at once because they changed most since they were last told."""
 
 
-class EffectNews:
+class EffectSelector:
     """Chooses effects by turns and by how much they changed."""
 
     def __init__(self) -> None:
         self._told: dict[Pair, PairEffect] = {}
 
     def __repr__(self) -> str:
-        return f"EffectNews({len(self._told)} told)"
+        return f"EffectSelector({len(self._told)} told)"
 
-    def take(self, effects: Iterable[PairEffect]) -> tuple[PairEffect, ...]:
+    def select(self, effects: Iterable[PairEffect]) -> tuple[PairEffect, ...]:
         """Return what to tell now, and count it as told.
 
         Args:
--- a/src/linkspan/shard/colocation/_plan_rooms.py
+++ b/src/linkspan/shard/colocation/_plan_rooms.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from linkspan.shard.colocation._pressure_room import PressureRoom
-from linkspan.shard.planning.urgency import Hope, hope_of
+from linkspan.shard.planning.urgency import Timeliness, timeliness_of
 
 if TYPE_CHECKING:
-    from linkspan.shard.colocation.colocation import ColocationBook
+    from linkspan.shard.colocation.interference import InterferenceEstimator
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.step_run import StepRun
 
@@ -26,17 +26,17 @@
     Work of less hope is not counted: it gives way to a task of more.
 
     Args:
-        book: What is known of pairs of images.
+        interference: What is known of pairs of images.
         now: Steady time.
         wall: Time of day, in seconds since 1970, for urgency.
     """
 
-    def __init__(self, book: ColocationBook, now: float, wall: float) -> None:
-        self._book = book
+    def __init__(self, interference: InterferenceEstimator, now: float, wall: float) -> None:
+        self._interference = interference
         self._now = now
         self._wall = wall
-        self._rooms: dict[tuple[str, Hope], PressureRoom] = {}
-        self._hopes: dict[StepRun, Hope] = {}
+        self._rooms: dict[tuple[str, Timeliness], PressureRoom] = {}
+        self._hopes: dict[StepRun, Timeliness] = {}
         self._unused: dict[str, float] = {}
 
     def __repr__(self) -> str:
@@ -48,7 +48,7 @@
 
     def changed(self, executor: ExecutorState) -> None:
         """Take in that something was placed on an executor."""
-        for hope in Hope:
+        for hope in Timeliness:
             self._rooms.pop((executor.executor_id, hope), None)
         self._unused.pop(executor.executor_id, None)
 
@@ -71,14 +71,14 @@
         room = self._rooms.get(key)
         if room is None:
             beside = (a for a in executor.best_effort_attempts() if self.hope(a.task.step) <= hope)
-            room = self._rooms[key] = PressureRoom(executor, self._book, self._now, beside)
+            room = self._rooms[key] = PressureRoom(executor, self._interference, self._now, beside)
         return room
 
-    def hope(self, step: StepRun) -> Hope:
+    def hope(self, step: StepRun) -> Timeliness:
         """Return a step's hope, which no placement of a plan changes."""
         hope = self._hopes.get(step)
         if hope is None:
-            hope = self._hopes[step] = hope_of(step, self._wall)
+            hope = self._hopes[step] = timeliness_of(step, self._wall)
         return hope
 
 
--- a/src/linkspan/shard/colocation/_pressure_room.py
+++ b/src/linkspan/shard/colocation/_pressure_room.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from linkspan.shard.colocation.colocation import scaled_cores
+from linkspan.shard.colocation.interference import scaled_cores
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from linkspan.jobs.spec import StepSpec
     from linkspan.shard.attempt import Attempt
-    from linkspan.shard.colocation.colocation import ColocationBook
+    from linkspan.shard.colocation.interference import InterferenceEstimator
     from linkspan.shard.executor import ExecutorState
 
 AIM_PRESSURE = 0.805
@@ -32,7 +32,7 @@
 
     Args:
         executor: The executor.
-        book: What is known of pairs of images.
+        interference: What is known of pairs of images.
         now: Steady time.
         beside: Best-effort attempts that use part of the room at their present pace.
         limit: Pressure up to which there is room.
@@ -41,18 +41,18 @@
     def __init__(
         self,
         executor: ExecutorState,
-        book: ColocationBook,
+        interference: InterferenceEstimator,
         now: float,
         beside: Iterable[Attempt] = (),
         *,
         limit: float = AIM_PRESSURE,
     ) -> None:
         self._executor = executor
-        self._book = book
+        self._interference = interference
         self._rooms: dict[str, float] = {}
         for attempt in executor.standing():
             image = attempt.task.step.spec.image
-            left = limit - book.load(attempt, now)
+            left = limit - interference.load(attempt, now)
             self._rooms[image] = min(left, self._rooms.get(image, left))
         for attempt in beside:
             self.take(attempt.task.step.spec, attempt.pace / 100)
@@ -70,7 +70,7 @@
         cores = scaled_cores(self._executor, spec.demand.milli_cpu)
         share = 1.0
         for image, left in self._rooms.items():
-            part = self._book.effect(image, spec.image) * cores
+            part = self._interference.effect(image, spec.image) * cores
             if part > INNOCENT_PRESSURE:
                 share = min(share, max(left, 0.0) / part)
         return share
@@ -79,4 +79,4 @@
         """Count a task in that works at a share of full speed."""
         cores = share * scaled_cores(self._executor, spec.demand.milli_cpu)
         for image in self._rooms:
-            self._rooms[image] -= self._book.effect(image, spec.image) * cores
+            self._rooms[image] -= self._interference.effect(image, spec.image) * cores
--- a/src/linkspan/shard/colocation/colocation.py
+++ b/src/linkspan/shard/colocation/interference.py
@@ -89,7 +89,7 @@
     at: float
 
 
-class ColocationBook:
+class InterferenceEstimator:
     """Learns the pressure that each image puts on each standing image.
 
     A Kalman filter with a diagonal covariance: each figure corrects the step's own
@@ -102,7 +102,7 @@
         self._learnt_at: dict[str, float] = {}
 
     def __repr__(self) -> str:
-        return f"ColocationBook({len(self._effects)} pairs)"
+        return f"InterferenceEstimator({len(self._effects)} pairs)"
 
     def learn(self, executor: ExecutorState, now: float) -> None:
         """Take in the newest figures of an executor."""
--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -7,12 +7,12 @@
 from linkspan.events import Event
 from linkspan.shard.attempt import FULL_PACE
 from linkspan.shard.colocation._pressure_room import KEPT_PRESSURE, PressureRoom
-from linkspan.shard.colocation.colocation import latency_ratio
+from linkspan.shard.colocation.interference import latency_ratio
 from linkspan.shard.planning.urgency import urgency
 
 if TYPE_CHECKING:
     from linkspan.shard.attempt import Attempt
-    from linkspan.shard.colocation.colocation import ColocationBook
+    from linkspan.shard.colocation.interference import InterferenceEstimator
     from linkspan.shard.core import ShardCore
     from linkspan.shard.executor import ExecutorState
 
@@ -48,12 +48,12 @@
 
     Args:
         core: The shard's state.
-        book: What is known of pairs of images.
+        interference: What is known of pairs of images.
     """
 
-    def __init__(self, core: ShardCore, book: ColocationBook) -> None:
+    def __init__(self, core: ShardCore, interference: InterferenceEstimator) -> None:
         self._core = core
-        self._book = book
+        self._interference = interference
         self._changed_at: dict[str, float] = {}
 
     def __repr__(self) -> str:
@@ -67,7 +67,7 @@
             now: Steady time.
             wall: Time of day, in seconds since 1970, for urgency.
         """
-        self._book.learn(executor, now)
+        self._interference.learn(executor, now)
         standing = executor.standing()
         neighbours = executor.best_effort()
         for attempt in standing:
@@ -76,7 +76,7 @@
         if not neighbours or now - last < FIGURE_S:
             return
         by_need = sorted(neighbours, key=lambda a: urgency(a.task.step, wall))
-        present = PressureRoom(executor, self._book, now, neighbours, limit=KEPT_PRESSURE)
+        present = PressureRoom(executor, self._interference, now, neighbours, limit=KEPT_PRESSURE)
         if present.overdrawn or any(a.over_since is not None for a in standing):
             self._share_out(executor, standing, by_need, now)
         else:
@@ -107,7 +107,7 @@
         """Give out anew what the standing tasks bear, the most urgent first."""
         worst = max(standing, key=lambda a: latency_ratio(a) or 0.0, default=None)
         factor = _over_factor(standing, now)
-        room = PressureRoom(executor, self._book, now)
+        room = PressureRoom(executor, self._interference, now)
         for attempt in by_need:
             spec = attempt.task.step.spec
             share = room.share(spec)
@@ -118,7 +118,7 @@
 
     def _speed_up(self, executor: ExecutorState, by_need: list[Attempt], now: float) -> None:
         """Give out what is left beside the present paces, the most urgent first."""
-        room = PressureRoom(executor, self._book, now, by_need)
+        room = PressureRoom(executor, self._interference, now, by_need)
         for attempt in by_need:
             if attempt.pace >= FULL_PACE and attempt.pace_known:
                 continue
--- a/src/linkspan/shard/core.py
+++ b/src/linkspan/shard/core.py
@@ -16,17 +16,17 @@
 A new owner starts inherited work only once each executor has answered its higher
 token, is gone or is past its lease (``ShardCore.may_start``).
 
-The rules are in modules of their own: ``_presence`` (executors that are silent or
-gone), ``_successions`` (lives under one id), ``_adoption`` (reports), ``_ends`` (ends),
-``_jobs`` (jobs), ``_loans`` (work of and for other shards) and ``_orders`` (orders and
-answers), on the state in ``_books``.
+The rules are in modules of their own: ``_liveness`` (executors that are silent or
+gone), ``_restarts`` (lives under one id), ``_reconciliation`` (reports), ``_ends`` (ends),
+``_jobs`` (jobs), ``_delegations`` (work of and for other shards) and ``_orders`` (orders and
+answers), on the state in ``_shard_state``.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from linkspan.shard._books import Order, ShardBooks
+from linkspan.shard._shard_state import Order, ShardState
 from linkspan.shard.attempt import FULL_PACE
 from linkspan.shard.handover._delegations import Delegations
 from linkspan.shard.intake._jobs import JobIntake
@@ -60,7 +60,7 @@
 __all__ = ["Order", "ShardCore"]
 
 
-class ShardCore(ShardBooks):
+class ShardCore(ShardState):
     """State and decisions of one tenure of a shard.
 
     The state is that of the books; each kind of decision has its own collaborator,
--- a/src/linkspan/shard/handover/_delegations.py
+++ b/src/linkspan/shard/handover/_delegations.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.crash_history import CrashHistory
     from linkspan.shard.job_run import JobRun
     from linkspan.shard.task import Task
@@ -21,20 +21,20 @@
     """Keeps track of work that is looked after by another shard than its own.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
     """
 
-    def __init__(self, books: ShardBooks) -> None:
-        self._books = books
+    def __init__(self, state: ShardState) -> None:
+        self._state = state
 
     def __repr__(self) -> str:
-        return f"Delegations({self._books!r})"
+        return f"Delegations({self._state!r})"
 
     def accept_delegations(
         self, job_id: str, delegations: Iterable[Delegation], now: float
     ) -> None:
         """Take in all open loans of a job's tasks to this shard."""
-        job = self._books.jobs.get(job_id)
+        job = self._state.jobs.get(job_id)
         run = job.runs.get(0) if job and job.delegated_here else None
         if run is None:
             return
@@ -43,8 +43,8 @@
             if task.managed_by is not None and task.delegation_number < delegation.number:
                 task.managed_by = None
                 task.delegation_number = delegation.number
-                self._books.set_crash_history(task, delegated_crash_history(delegation))
-                self._books.mark_ready(task, now)
+                self._state.set_crash_history(task, delegated_crash_history(delegation))
+                self._state.mark_ready(task, now)
 
     def hand_over_tasks(
         self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]
@@ -54,7 +54,7 @@
         A loan of a task that lives here gets the next number; a task that was lent to
         this shard goes back under the number that it came with.
         """
-        job = self._books.jobs.get(job_id)
+        job = self._state.jobs.get(job_id)
         run = job.runs.get(0) if job else None
         if job is None or run is None:
             return None
@@ -62,12 +62,12 @@
             task = run.steps[step].tasks[index]
             task.managed_by = shard
             task.delegation_number += 0 if job.delegated_here else 1
-        self._books.touch(run)
+        self._state.touch(run)
         return run
 
     def reclaim_tasks(self, job_id: str, returned: Iterable[Delegation], now: float) -> None:
         """Look after tasks again whose loans were given back."""
-        job = self._books.jobs.get(job_id)
+        job = self._state.jobs.get(job_id)
         run = job.runs.get(0) if job and not job.delegated_here else None
         if run is None:
             return
@@ -76,13 +76,13 @@
             if task.managed_by is not None and task.delegation_number == delegation.number:
                 task.returned_by[task.managed_by] = delegation.number
                 task.managed_by = None
-                self._books.set_crash_history(task, _brought_back(task, delegation))
-                self._books.touch(run)
-                self._books.mark_ready(task, now)
+                self._state.set_crash_history(task, _brought_back(task, delegation))
+                self._state.touch(run)
+                self._state.mark_ready(task, now)
 
     def delegations(self, job_id: str) -> dict[int, tuple[Delegation, ...]]:
         """Return the loans of a job's tasks that are out, by shard."""
-        job = self._books.jobs.get(job_id)
+        job = self._state.jobs.get(job_id)
         delegations: dict[int, tuple[Delegation, ...]] = {}
         for run in job.runs.values() if job else ():
             for task in run.tasks():
@@ -95,14 +95,14 @@
 
     def remove_moved(self, job_id: str) -> None:
         """Forget a job that was moved to another shard."""
-        self._books.left.add(job_id)
-        job = self._books.jobs.pop(job_id, None)
+        self._state.left.add(job_id)
+        job = self._state.jobs.pop(job_id, None)
         for run in job.runs.values() if job else ():
-            self._books.dirty.pop((job_id, run.repetition), None)
-            self._books.dropped.append(key_of(run))
+            self._state.dirty.pop((job_id, run.repetition), None)
+            self._state.dropped.append(key_of(run))
             for step in run.steps:
-                self._books.ready.pop(step, None)
-                self._books.advice.forget(step)
+                self._state.ready.pop(step, None)
+                self._state.advice.forget(step)
 
 
 def _brought_back(task: Task, delegation: Delegation) -> CrashHistory | None:
--- a/src/linkspan/shard/handover/_evidence.py
+++ b/src/linkspan/shard/handover/_evidence.py
@@ -20,7 +20,7 @@
 
     def __init__(self, context: TenureContext) -> None:
         self._core = context.core
-        self._book = context.book
+        self._job_registry = context.job_registry
 
     def __repr__(self) -> str:
         return f"MoveEvidence({self._core!r})"
@@ -33,7 +33,7 @@
             now: Steady time.
         """
         rostered = [e for e in self._core.executors.values() if e.rostered]
-        entry = self._book.catalog.get(job.job_id)
+        entry = self._job_registry.catalog.get(job.job_id)
         run = job.runs[0]
         return {
             "by": origin(job),
@@ -43,5 +43,5 @@
             "run_version": run.version,
             "run_durable": run.durable,
             "told_begun": entry.begun if entry else None,
-            "view_age_s": round(now - self._book.follower.synced_at, 3),
+            "view_age_s": round(now - self._job_registry.follower.synced_at, 3),
         }
--- a/src/linkspan/shard/handover/_handovers.py
+++ b/src/linkspan/shard/handover/_handovers.py
@@ -45,7 +45,7 @@
         self._token = context.token
         self._log = context.log
         self._settings = context.settings
-        self._book = context.book
+        self._job_registry = context.job_registry
         self._writer = context.writer
         self._scope = context.scope
         self._proof = context.proof
@@ -88,13 +88,13 @@
             return
         await self._writer.write([Record(encode_run(run), key_of(run))])
         if job.delegated_here:
-            await self._book.write([self._returned(job_id, run, tasks)])
+            await self._job_registry.write([self._returned(job_id, run, tasks)])
         elif delegations := self._core.delegations(job_id).get(shard):
-            await self._book.write([Delegated(job_id, shard, delegations)])
+            await self._job_registry.write([Delegated(job_id, shard, delegations)])
         job.handing_over = False
 
     def _returned(self, job_id: str, run: JobRun, tasks: tuple[tuple[int, int], ...]) -> Returned:
-        entry = self._book.catalog.get(job_id)
+        entry = self._job_registry.catalog.get(job_id)
         before = entry.returned_delegations.get(self._shard, ()) if entry else ()
         delegations = tuple(
             last_delegation_of(run.steps[step].tasks[index]) for step, index in tasks
@@ -104,14 +104,14 @@
 
     async def tell_moved(self, job_id: str, shard: int) -> None:
         """Tell that a job lives in another shard now, and forget it."""
-        offset = await self._book.write([Moved(job_id, shard)])
+        offset = await self._job_registry.write([Moved(job_id, shard)])
         self._log_move(Event.MOVE_TOLD, job_id, shard, offset)
         job = self._core.jobs.get(job_id)
         if job is None or not job.delegated_here:
             # Otherwise it was lent back before this answer came.
             self._core.remove_moved(job_id)
             self._core.drop_progress(job_id, [0])
-        self._changes.news()
+        self._changes.notify()
 
     def _log_move(self, event: Event, job_id: str, shard: int, offset: int) -> None:
         self._log.write(
--- a/src/linkspan/shard/intake/_feed.py
+++ b/src/linkspan/shard/intake/_feed.py
@@ -30,7 +30,7 @@
         self._core = context.core
         self._shard = context.shard
         self._token = context.token
-        self._book = context.book
+        self._job_registry = context.job_registry
         self._log = context.log
         self._changes = context.changes
 
@@ -40,7 +40,7 @@
     def on_job(self, job_id: str) -> None:
         """Take in that something is known of a job that was not before."""
         now = steady()
-        entry = self._book.catalog.get(job_id)
+        entry = self._job_registry.catalog.get(job_id)
         if entry is None:
             return
         if entry.finished:
@@ -50,7 +50,7 @@
         elif entry.shard == self._shard or self._shard in entry.delegated:
             # A former owner that has not yet read of our claim may see it too.
             self.add_job(job_id, entry, now, inherited=self._core.adopting)
-        self._changes.news()
+        self._changes.notify()
 
     def add_job(
         self,
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -10,7 +10,7 @@
 from linkspan.shard.crash_history import GIVE_UP_REASON, delegated_crash_history
 from linkspan.shard.job_run import INHERITED_RUN_GAP, new_run
 from linkspan.shard.messages import TaskName
-from linkspan.shard.planning._outlook import refresh_outlook
+from linkspan.shard.planning._expected_durations import update_expected_durations
 from linkspan.shard.recovery.progress import RunKey, key_of, restore_run
 from linkspan.shard.shard_job import ShardJob
 
@@ -19,7 +19,7 @@
 
     from linkspan.jobs.records import Delegation, Submitted
     from linkspan.model.configuration import Configuration
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.job_run import JobRun
 
 UNREAD_RUN = 1_000_000
@@ -31,14 +31,14 @@
     """Takes jobs in and lets them go.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
     """
 
-    def __init__(self, books: ShardBooks) -> None:
-        self._books = books
+    def __init__(self, state: ShardState) -> None:
+        self._state = state
 
     def __repr__(self) -> str:
-        return f"JobIntake({self._books!r})"
+        return f"JobIntake({self._state!r})"
 
     def add_job(
         self,
@@ -58,9 +58,9 @@
             RecordError: A progress record does not fit the job, which is taken in without it.
         """
         job_id = submitted.spec.job_id
-        if job_id in self._books.jobs:
+        if job_id in self._state.jobs:
             return
-        if job_id in self._books.left and delegated_here is None:
+        if job_id in self._state.left and delegated_here is None:
             # A loan is newer than the move that it follows; other news is older.
             return
         # Begun by the records: its progress may not have become durable.
@@ -68,7 +68,7 @@
         job.delegated_here = delegated_here is not None
         if submitted.terms:
             job.take_terms(submitted.terms, submitted.version)
-        self._books.jobs[job.job_id] = job
+        self._state.jobs[job.job_id] = job
         self.refresh_queue(job)
         unread: list[str] = []
         for repetition in range(job.spec.repetitions):
@@ -87,11 +87,11 @@
                     task.next_run = INHERITED_RUN_GAP
             if delegated_here is not None:
                 self._keep_only(run, delegated_here, submitted.shard)
-            self._books.open_steps(run, now)
-        if job.limit_version is None and job.max_attempts is not None and self._books.configuration:
+            self._state.open_steps(run, now)
+        if job.limit_version is None and job.max_attempts is not None and self._state.configuration:
             # Whatever told it, a configuration that comes later is newer.
-            job.limit_version = self._books.configuration.version
-        self._books.finish_if_done(job)
+            job.limit_version = self._state.configuration.version
+        self._state.finish_if_done(job)
         if unread:
             raise RecordError("; ".join(unread))
 
@@ -106,7 +106,7 @@
         """
         run = new_run(job, repetition)
         run.released = job.spec.schedule is None
-        self._books.mark_begun(job)
+        self._state.mark_begun(job)
         for task in run.tasks():
             task.next_run = UNREAD_RUN
         for shard, delegations in lent.items():
@@ -114,17 +114,17 @@
                 away = run.task(TaskName(job.job_id, repetition, delegation.step, delegation.index))
                 if away:
                     away.managed_by, away.delegation_number = shard, delegation.number
-        self._books.touch(run)
+        self._state.touch(run)
         return run
 
     def _restore(self, run: JobRun, value: bytes, now: float) -> None:
         restore_run(run, value, now)
-        self._books.mark_begun(run.job)
+        self._state.mark_begun(run.job)
         for task in run.tasks():
             task.next_run += INHERITED_RUN_GAP
-            self._books.set_crash_history(task, task.crash_history)
+            self._state.set_crash_history(task, task.crash_history)
             for attempt in list(task.attempts):
-                executor = self._books.recorded_incarnation(attempt.executor_id)
+                executor = self._state.recorded_incarnation(attempt.executor_id)
                 if executor:
                     attempt.executor_id = executor.executor_id
                     executor.add(attempt)
@@ -140,11 +140,11 @@
             failures = step.failures if step.spec.gang else worst.failures
             if run.job.used_up(failures) and not step.spec.standing:
                 why = used_up(worst, failures, run.job.max_attempts)
-                self._books.decide(run.job, JobState.FAILED, **why)
+                self._state.decide(run.job, JobState.FAILED, **why)
             for task in step.tasks:
                 if task.crash_history and task.crash_history.must_give_up:
                     why = {"reason": GIVE_UP_REASON, "task": short_name(task.name)}
-                    self._books.decide(run.job, JobState.FAILED, **why)
+                    self._state.decide(run.job, JobState.FAILED, **why)
 
     def _keep_only(self, run: JobRun, delegations: Iterable[Delegation], home: int) -> None:
         """Leave all tasks but the borrowed ones to the shard that the job lives in."""
@@ -156,23 +156,23 @@
             elif task.delegation_number < delegation.number:
                 task.managed_by = None
                 task.delegation_number = delegation.number
-                self._books.set_crash_history(task, delegated_crash_history(delegation))
+                self._state.set_crash_history(task, delegated_crash_history(delegation))
 
     def refresh_queue(self, job: ShardJob) -> None:
         """Take a job's limits from the configuration in force.
 
         A job whose queue was removed keeps what it had.
         """
-        configuration = self._books.configuration
+        configuration = self._state.configuration
         queue = configuration and configuration.queues.get(job.spec.queue)
         if configuration and queue:
             job.take_terms(queue.terms, configuration.version)
-        refresh_outlook(job, self._books.lengths)
+        update_expected_durations(job, self._state.durations)
 
     def configure(self, configuration: Configuration) -> None:
         """Put a configuration in force."""
-        self._books.configuration = configuration
-        for job in self._books.jobs.values():
+        self._state.configuration = configuration
+        for job in self._state.jobs.values():
             before = job.max_attempts
             self.refresh_queue(job)
             if job.max_attempts != before:
@@ -181,34 +181,34 @@
 
     def release_due(self, wall: float, now: float) -> None:
         """Open repetitions that are due."""
-        for job in self._books.jobs.values():
+        for job in self._state.jobs.values():
             schedule = job.spec.schedule
             if schedule is None or job.closing:
                 continue
             for run in job.runs.values():
                 if not run.released and schedule.due(run.repetition) <= wall:
                     run.released = True
-                    self._books.open_steps(run, now)
+                    self._state.open_steps(run, now)
 
     def cancel_job(self, job_id: str) -> None:
         """Cancel a job; a job that is decided already stays as it is."""
-        job = self._books.jobs.get(job_id)
+        job = self._state.jobs.get(job_id)
         if job and not job.closing:
-            self._books.decide(job, JobState.CANCELLED)
+            self._state.decide(job, JobState.CANCELLED)
 
     def on_finished(self, job_id: str) -> None:
         """Take in that a job's final record is durable."""
-        job = self._books.jobs.get(job_id)
+        job = self._state.jobs.get(job_id)
         if job is None:
             return
-        self._books.left.add(job_id)
+        self._state.left.add(job_id)
         for run in job.runs.values():
             run.durable = float("inf")
-            self._books.dirty.pop((job_id, run.repetition), None)
-            self._books.dropped.append(key_of(run))
+            self._state.dirty.pop((job_id, run.repetition), None)
+            self._state.dropped.append(key_of(run))
         job.closing = True
-        self._books.forget_if_quiet(job)
+        self._state.forget_if_quiet(job)
 
     def drop_progress(self, job_id: str, repetitions: Iterable[int]) -> None:
         """Have the records of a job that is finished, or void, removed."""
-        self._books.dropped += [RunKey(job_id, number).encode() for number in repetitions]
+        self._state.dropped += [RunKey(job_id, number).encode() for number in repetitions]
--- a/src/linkspan/shard/job_run.py
+++ b/src/linkspan/shard/job_run.py
@@ -47,7 +47,7 @@
     @property
     def work_left(self) -> float:
         """Work of the tasks that are not done, in thousandths of a core times seconds."""
-        lengths = self.job.lengths_s
+        lengths = self.job.expected_durations_s
         return sum(
             step.tasks_left * step.spec.demand.milli_cpu * lengths[step.index]
             for step in self.steps
--- a/src/linkspan/shard/orders/_dispatch.py
+++ b/src/linkspan/shard/orders/_dispatch.py
@@ -89,7 +89,7 @@
         if self._proof.may_act(now):
             self._planner.plan(now, time.time())
             self._send_orders()
-        self._changes.hand_out_records()
+        self._changes.notify_writers()
 
     def _send_orders(self) -> None:
         core = self._core
@@ -154,7 +154,7 @@
                 self._core.on_start_unanswered(order, steady())
             elif isinstance(order, PaceOrder):
                 self._core.on_pace_unknown(order)
-        self._changes.news()
+        self._changes.notify()
 
     async def _recorded(self, order: StartOrder) -> None:
         """Wait until a start is on record.
--- a/src/linkspan/shard/orders/_orders.py
+++ b/src/linkspan/shard/orders/_orders.py
@@ -10,7 +10,7 @@
 from linkspan.shard.reports.health import UNHEALTHY_PAUSE_S
 
 if TYPE_CHECKING:
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import StartAnswer, StopOrder
     from linkspan.shard.task import Task
@@ -34,14 +34,14 @@
     """Decides on starts, stops and paces, and takes in how they were answered.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
     """
 
-    def __init__(self, books: ShardBooks) -> None:
-        self._books = books
+    def __init__(self, state: ShardState) -> None:
+        self._state = state
 
     def __repr__(self) -> str:
-        return f"Orders({self._books!r})"
+        return f"Orders({self._state!r})"
 
     def place(
         self,
@@ -60,27 +60,27 @@
         attempt.pace = pace
         attempt.ticket = ticket
         task.next_run = number + 1
-        self._books.attach(executor, attempt)
-        self._books.touch(task.step.run)
+        self._state.attach(executor, attempt)
+        self._state.touch(task.step.run)
         job = task.step.run.job
-        self._books.mark_begun(job)
-        self._books.send_start(attempt)
+        self._state.mark_begun(job)
+        self._state.send_start(attempt)
         return attempt
 
     def unplace(self, attempt: Attempt) -> None:
         """Take back a placement whose order was not handed out."""
-        self._books.detach(attempt)
+        self._state.detach(attempt)
         attempt.task.next_run = attempt.run
 
     def waited(self, order: StartOrder, now: float) -> float:
         """Return how long the task of a start waited for it, in seconds."""
-        task = self._books.find_task(order.task)
+        task = self._state.find_task(order.task)
         return max(now - task.ready_since, 0.0) if task else 0.0
 
     def on_started(self, order: StartOrder, answer: StartAnswer, now: float) -> None:
         """Take in an executor's answer to a start."""
-        attempt = self._books.find_attempt(order.task, order.run)
-        executor = self._books.executors.get(attempt.executor_id) if attempt else None
+        attempt = self._state.find_attempt(order.task, order.run)
+        executor = self._state.executors.get(attempt.executor_id) if attempt else None
         if attempt is None or executor is None:
             return
         if answer.outcome is StartOutcome.STARTED:
@@ -95,7 +95,7 @@
                     self.pace(attempt, attempt.pace, now)
             return
         reason = answer.outcome.value
-        self._books.log_run(
+        self._state.log_run(
             Event.START_REFUSED, order.executor_id, order.task, order.run, reason=reason
         )
         if answer.outcome is StartOutcome.UNHEALTHY:
@@ -103,14 +103,14 @@
         if answer.outcome is StartOutcome.INVALID:
             attempt.task.avoid.add(order.executor_id)
         if answer.outcome is StartOutcome.NO_TICKET:
-            self._books.advice.drop(attempt.task.step, order.executor_id)
+            self._state.advice.drop(attempt.task.step, order.executor_id)
         attempt.task.not_before = now + _pause_s(attempt.task.refusals)
         attempt.task.refusals += 1
         if attempt.late_until > now:
             # Refused now, an earlier order of it may be carried out yet.
-            self._books.order_stop(attempt, now)
+            self._state.order_stop(attempt, now)
         else:
-            self._books.close(attempt, now)
+            self._state.close(attempt, now)
 
     def _record_answer(self, attempt: Attempt) -> None:
         """Have the record of a run written again that tells of a start without an answer.
@@ -118,37 +118,37 @@
         Most short runs end before that presses, and then their record is written in any case.
         """
         run = attempt.task.step.run
-        if not self._books.is_dirty(run):
+        if not self._state.is_dirty(run):
             # It was written between the start and its answer.
-            self._books.touch(run, pressing=False)
+            self._state.touch(run, pressing=False)
 
     def on_start_unanswered(self, order: StartOrder, now: float) -> None:
         """Take in that a start got no answer: it may be carried out later."""
-        attempt = self._books.find_attempt(order.task, order.run)
+        attempt = self._state.find_attempt(order.task, order.run)
         if attempt is None:
             return
         attempt.late_until = now + LATE_START_S
         if attempt.phase is not Phase.STARTING:
             return
         attempt.phase = Phase.DOUBT
-        self._books.look_at.add(attempt.executor_id)
-        self._books.log_run(Event.START_IN_DOUBT, order.executor_id, order.task, order.run)
+        self._state.look_at.add(attempt.executor_id)
+        self._state.log_run(Event.START_IN_DOUBT, order.executor_id, order.task, order.run)
 
     def on_pace_unknown(self, order: PaceOrder) -> None:
         """Take in that an executor may not have taken a pace: it is set again."""
-        attempt = self._books.find_attempt(order.task, order.run)
+        attempt = self._state.find_attempt(order.task, order.run)
         if attempt:
             attempt.pace_known = False
 
     def on_start_unsent(self, order: StartOrder, now: float) -> None:
         """Take in that a start was surely never sent."""
-        attempt = self._books.find_attempt(order.task, order.run)
+        attempt = self._state.find_attempt(order.task, order.run)
         if attempt is None or attempt.phase is not Phase.STARTING:
             return
         if attempt.late_until > now:
             attempt.phase = Phase.DOUBT
         else:
-            self._books.close(attempt, now)
+            self._state.close(attempt, now)
 
     def on_stopped(self, order: StopOrder, taken: bool, now: float) -> None:
         """Take in an executor's answer to a stop.
@@ -156,49 +156,49 @@
         A stop that was taken keeps a run that is not there from ever starting. One
         that is there ends within the stop time and is then listed.
         """
-        attempt = self._books.find_attempt(order.task, order.run)
+        attempt = self._state.find_attempt(order.task, order.run)
         if attempt is None or not taken or attempt.executor_id != order.executor_id:
             # The next life of its executor must take it by itself.
             return
         if attempt.stop_taken_at is None:
             # Whether it ran is told by the next look: it is then listed or ended.
             attempt.stop_taken_at = now
-            self._books.look_at.add(order.executor_id)
+            self._state.look_at.add(order.executor_id)
 
     def tick(self, now: float) -> None:
         """Send stops again whose end was not listed, and settle finished jobs."""
-        for executor in self._books.executors.values():
+        for executor in self._state.executors.values():
             for attempt in executor.attempts.values():
                 if (
                     attempt.phase is Phase.STOPPING
                     and now - attempt.stop_sent_at >= STOP_RESEND_S
                     and executor.silent_since is None
                 ):
-                    self._books.send_stop(attempt, now)
+                    self._state.send_stop(attempt, now)
                 elif (
                     attempt.phase is Phase.DOUBT
                     and executor.rostered
                     and executor.silent_since is None
                 ):
-                    self._books.look_at.add(executor.executor_id)
-        for job in list(self._books.jobs.values()):
+                    self._state.look_at.add(executor.executor_id)
+        for job in list(self._state.jobs.values()):
             if job.closing:
                 for attempt in job.attempts():
                     if attempt.phase is not Phase.STOPPING:
-                        self._books.order_stop(attempt, now)
-                self._books.forget_if_quiet(job)
+                        self._state.order_stop(attempt, now)
+                self._state.forget_if_quiet(job)
 
     def stop(self, attempt: Attempt, now: float, *, reason: str) -> None:
         """Stop an attempt so that its task continues elsewhere."""
         task, run = attempt.key
-        self._books.log_run(Event.RUN_MOVED, attempt.executor_id, task, run, reason=reason)
+        self._state.log_run(Event.RUN_MOVED, attempt.executor_id, task, run, reason=reason)
         attempt.moved = True
-        self._books.order_stop(attempt, now)
+        self._state.order_stop(attempt, now)
 
     def pace(self, attempt: Attempt, percent: int, now: float) -> None:
         """Let a run work at a share of full speed."""
         attempt.set_pace(percent, now)
-        self._books.orders.append(
+        self._state.orders.append(
             PaceOrder(attempt.executor_id, attempt.task.name, attempt.run, percent)
         )
 
--- a/src/linkspan/shard/planning/_advisor.py
+++ b/src/linkspan/shard/planning/_advisor.py
@@ -18,7 +18,7 @@
 """Time between checks for calls that were put off."""
 
 
-class Advisor:
+class AdviceRequester:
     """Makes one call at a time: the service works on no more for one host.
 
     Args:
@@ -35,7 +35,7 @@
         self._metrics = context.metrics
 
     def __repr__(self) -> str:
-        return f"Advisor(shard={self._shard})"
+        return f"AdviceRequester(shard={self._shard})"
 
     async def run(self) -> None:
         """Ask for as long as the tenure lasts."""
@@ -69,4 +69,4 @@
             given=len(advice.tickets),
             took_s=round(took_s, 3),
         )
-        self._changes.news()
+        self._changes.notify()
--- a/src/linkspan/shard/planning/_copies.py
+++ b/src/linkspan/shard/planning/_copies.py
@@ -36,7 +36,7 @@
 
     def _wants_copy(self, attempt: Attempt) -> bool:
         step = attempt.task.step
-        if step.run.job.advised or len(attempt.task.attempts) > 1:
+        if step.run.job.requires_ticket or len(attempt.task.attempts) > 1:
             return False
         if attempt.task.crash_history or self._now < attempt.task.not_before:
             # It would be one more executor to lose, or was refused a moment ago.
--- a/src/linkspan/shard/planning/_moves.py
+++ b/src/linkspan/shard/planning/_moves.py
@@ -99,7 +99,7 @@
 
     def _fits_elsewhere(self, attempt: Attempt) -> bool:
         step = attempt.task.step
-        if step.run.job.advised:
+        if step.run.job.requires_ticket:
             # The other executor may have no ticket, and then it would only wait.
             return False
         return self._view.placement(step, self._view.usable()).choose(attempt.task) is not None
@@ -143,13 +143,13 @@
         left_s = spec.estimate_s * (1 - attempt.progress / 100)
         if not spec.checkpoints or spec.gang or left_s < MOVE_LEFT_S:
             return False
-        if step.run.job.advised:
+        if step.run.job.requires_ticket:
             # The other executor may have no ticket, and then it would only wait.
             return False
         others = [e for e in self._view.usable() if e is not executor]
         best = self._view.placement(step, others).choose(attempt.task)
         if best is None:
             return False
-        book, image, cpu = self._core.colocation, spec.image, spec.demand.milli_cpu
-        here = book.worst_added(executor, image, cpu)
-        return book.worst_added(best, image, cpu) < MOVE_GAIN * here
+        interference, image, cpu = self._core.interference, spec.image, spec.demand.milli_cpu
+        here = interference.worst_added(executor, image, cpu)
+        return interference.worst_added(best, image, cpu) < MOVE_GAIN * here
--- a/src/linkspan/shard/planning/_overfull.py
+++ b/src/linkspan/shard/planning/_overfull.py
@@ -60,7 +60,7 @@
     def _may_leave(self, attempt: Attempt, executor: ExecutorState) -> bool:
         """Whether a run may be stopped, and finds room elsewhere once it has ended."""
         step = attempt.task.step
-        if step.spec.gang or step.run.job.advised or step.run.job.closing:
+        if step.spec.gang or step.run.job.requires_ticket or step.run.job.closing:
             # A gang would lose the work of all; elsewhere there may be no ticket.
             return False
         if step.spec.standing and not step.all_at_work:
--- a/src/linkspan/shard/planning/_plan_view.py
+++ b/src/linkspan/shard/planning/_plan_view.py
@@ -74,7 +74,7 @@
     ) -> StepPlacement:
         """Return what chooses for a step among some executors, or all that may get new work."""
         core = self.core
-        scores = StepScores(step, core.health, core.colocation, self.rooms, self.now)
+        scores = StepScores(step, core.health, core.interference, self.rooms, self.now)
         if executors is None:
             return StepPlacement(
                 step, self.usable(), scores, self.rooms, self.now, self._full, self.free()
--- a/src/linkspan/shard/planning/_step_scores.py
+++ b/src/linkspan/shard/planning/_step_scores.py
@@ -7,9 +7,9 @@
 
 if TYPE_CHECKING:
     from linkspan.shard.colocation._plan_rooms import PlanRooms
-    from linkspan.shard.colocation.colocation import ColocationBook
+    from linkspan.shard.colocation.interference import InterferenceEstimator
     from linkspan.shard.executor import ExecutorState
-    from linkspan.shard.reports.health import HealthBook
+    from linkspan.shard.reports.health import ExecutorHealth
     from linkspan.shard.step_run import StepRun
 
 SLOW_PENALTY = 2.0
@@ -62,8 +62,8 @@
     """
 
     step: StepRun
-    health: HealthBook
-    colocation: ColocationBook
+    health: ExecutorHealth
+    colocation: InterferenceEstimator
     rooms: PlanRooms
     now: float
 
--- a/src/linkspan/shard/planning/advice.py
+++ b/src/linkspan/shard/planning/advice.py
@@ -77,7 +77,7 @@
     wanted: dict[str, None] = field(default_factory=dict)
 
 
-class AdviceBook:
+class AdviceCache:
     """Tickets that a shard's owner holds, and those that it needs."""
 
     def __init__(self) -> None:
@@ -85,7 +85,7 @@
         self._not_before = float("-inf")
 
     def __repr__(self) -> str:
-        return f"AdviceBook({len(self._steps)} steps)"
+        return f"AdviceCache({len(self._steps)} steps)"
 
     def ticket(self, step: StepRun, executor_id: str, now: float) -> str | None:
         """Return a ticket that still holds, ``None`` without one."""
--- a/src/linkspan/shard/planning/lengths.py
+++ b/src/linkspan/shard/planning/durations.py
@@ -55,7 +55,7 @@
         return min(max(ratio, -MOST_RATIO), MOST_RATIO)
 
 
-class LengthBook:
+class DurationEstimator:
     """Learns, by queue, how steps' lengths follow their callers' guesses.
 
     Callers guess roughly: for batch jobs lengths were seen to spread by half while guesses
@@ -75,7 +75,7 @@
         self.learnt = 0
 
     def __repr__(self) -> str:
-        return f"LengthBook({len(self._fits)} queues)"
+        return f"DurationEstimator({len(self._fits)} queues)"
 
     def learn(self, queue: str, guess_s: float, took_s: float) -> None:
         """Take in how long a step took.
@@ -93,13 +93,13 @@
         """Return how long a step is likely to take, in seconds.
 
         Example:
-            >>> book = LengthBook()
-            >>> book.expected_s("batch", 2.0)
+            >>> durations = DurationEstimator()
+            >>> durations.expected_s("batch", 2.0)
             2.0
             >>> for guess_s in (0.5, 1.0, 2.0, 4.0) * 50:
-            ...     book.learn("batch", guess_s, 3.0)
-            >>> round(book.expected_s("batch", 0.5), 1), round(book.expected_s("batch", 4.0), 1)
-            (2.8, 3.0)
+            ...     durations.learn("batch", guess_s, 3.0)
+            >>> [round(durations.expected_s("batch", guess_s), 1) for guess_s in (0.5, 4.0)]
+            [2.8, 3.0]
         """
         fit = self._fits.get(queue)
         if fit is None:
--- a/src/linkspan/shard/planning/placement.py
+++ b/src/linkspan/shard/planning/placement.py
@@ -17,7 +17,7 @@
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.planning._free_room import FreeRoom
     from linkspan.shard.planning._step_scores import StepScores
-    from linkspan.shard.planning.urgency import Hope
+    from linkspan.shard.planning.urgency import Timeliness
     from linkspan.shard.step_run import StepRun
     from linkspan.shard.task import Task
 
@@ -64,7 +64,7 @@
     label: str
     demand: Demand
     standing: bool
-    beside: tuple[str, Hope] | None
+    beside: tuple[str, Timeliness] | None
     fill: bool
     starved: bool
 
@@ -140,7 +140,7 @@
     def _roomy(self, starved: bool) -> list[ExecutorState]:
         """Return the executors that may have room for a task: none of the others has."""
         job = self.step.run.job
-        if self.free is None or job.advised:
+        if self.free is None or job.requires_ticket:
             return self.executors
         spec = self.step.spec
         cores: float = spec.demand.milli_cpu
@@ -174,7 +174,7 @@
         Members of a gang give theirs back, and spread limits and tickets are a step's own.
         """
         spec = self.step.spec
-        if spec.gang or spec.max_per_executor or self.step.run.job.advised:
+        if spec.gang or spec.max_per_executor or self.step.run.job.requires_ticket:
             return None
         beside = (spec.image, self.rooms.hope(self.step)) if spec.best_effort else None
         service = self.step.run.job.service
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -50,7 +50,7 @@
             wall: Time of day, in seconds since 1970, for due times and urgency.
         """
         core = self._core
-        view = PlanView(core, PlanRooms(core.colocation, now, wall), now)
+        view = PlanView(core, PlanRooms(core.interference, now, wall), now)
         core.release_due(wall, now)
         core.remove_finished_suspects()
         Moves(view).order()
@@ -81,7 +81,7 @@
         placement = view.placement(step)
         if not placement.executors:
             return
-        if step.run.job.advised:
+        if step.run.job.requires_ticket:
             self._keep_ticketed(placement)
             if not placement.executors:
                 self._log(placement, [], len(pending), view)
@@ -98,11 +98,11 @@
 
     def _keep_ticketed(self, placement: StepPlacement) -> None:
         """Keep to the executors that the queue's policy lets run the step."""
-        step, now, book = placement.step, placement.now, self._core.advice
+        step, now, advice = placement.step, placement.now, self._core.advice
         by_room = sorted(placement.executors, key=lambda e: -e.free_cpu)
-        book.want(step, (e.executor_id for e in by_room), now)
+        advice.want(step, (e.executor_id for e in by_room), now)
         placement.executors = [
-            e for e in placement.executors if book.ticket(step, e.executor_id, now) is not None
+            e for e in placement.executors if advice.ticket(step, e.executor_id, now) is not None
         ]
 
     def _start(
@@ -122,7 +122,7 @@
 
     def _ticket(self, placement: StepPlacement, executor: ExecutorState) -> str:
         step = placement.step
-        if not step.run.job.advised:
+        if not step.run.job.requires_ticket:
             return ""
         return self._core.advice.ticket(step, executor.executor_id, placement.now) or ""
 
--- a/src/linkspan/shard/planning/urgency.py
+++ b/src/linkspan/shard/planning/urgency.py
@@ -17,7 +17,7 @@
 in time: guesses of running times are rough. A late job earns a seventh."""
 
 
-class Hope(IntEnum):
+class Timeliness(IntEnum):
     """Whether a job can still be of use, the best first."""
 
     IN_TIME = 0
@@ -31,13 +31,13 @@
     Attributes:
         fresh: Whether it is anything but a standing task that was at work before.
         priority: Its queue's priority.
-        hope: Whether its job can still be in time.
+        timeliness: Whether its job can still be in time.
         rank: Order among equals, the lowest first.
     """
 
     fresh: bool
     priority: int
-    hope: Hope
+    timeliness: Timeliness
     rank: float
 
 
@@ -68,11 +68,11 @@
     hope = _hope(step, age + left_s, slack)
     if step.spec.standing:
         return Urgency(not restart, job.priority, hope, slack)
-    rank = -age if hope is Hope.NONE else step.run.work_left
+    rank = -age if hope is Timeliness.NONE else step.run.work_left
     return Urgency(not restart, job.priority, hope, rank)
 
 
-def hope_of(step: StepRun, wall: float) -> Hope:
+def timeliness_of(step: StepRun, wall: float) -> Timeliness:
     """Return the hope of a step's urgency alone: it needs no sum over the job's steps.
 
     Args:
@@ -88,14 +88,14 @@
     job = step.run.job
     schedule = job.spec.schedule
     born = schedule.due(step.run.repetition) if schedule else job.submitted.accepted
-    done_s = job.lengths_s[step.index] * (1.0 - step.share_left)
-    return wall - born, job.after_s[step.index] - done_s
+    done_s = job.expected_durations_s[step.index] * (1.0 - step.share_left)
+    return wall - born, job.remaining_path_s[step.index] - done_s
 
 
-def _hope(step: StepRun, ends_s: float, slack: float) -> Hope:
+def _hope(step: StepRun, ends_s: float, slack: float) -> Timeliness:
     objective_s = step.run.job.objective_s
     if step.spec.standing or slack >= -LATE_SHARE * objective_s:
-        return Hope.IN_TIME
+        return Timeliness.IN_TIME
     if ends_s > HOPELESS_FACTOR * objective_s:
-        return Hope.NONE
-    return Hope.LATE
+        return Timeliness.NONE
+    return Timeliness.LATE
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -60,7 +60,7 @@
     return flushes[-1] + (FLUSH_S if busy else START_FLUSH_S)
 
 
-class RecordKeeper:
+class RecordWriter:
     """Writes what the core wants durable and removes what is past its time.
 
     Args:
@@ -71,13 +71,13 @@
         self._core = context.core
         self._shard = context.shard
         self._settings = context.settings
-        self._book = context.book
+        self._job_registry = context.job_registry
         self._writer = context.writer
         self._scope = context.scope
         self._changes = context.changes
 
     def __repr__(self) -> str:
-        return f"RecordKeeper(shard={self._shard})"
+        return f"RecordWriter(shard={self._shard})"
 
     async def flush_loop(self) -> None:
         """Write changes of progress for as long as the tenure lasts."""
@@ -169,7 +169,7 @@
 
     async def _record_finish(self, finished: Finished) -> None:
         await self._record_holds()
-        entry = self._book.catalog.get(finished.job_id)
+        entry = self._job_registry.catalog.get(finished.job_id)
         records: list[JobRecord] = [
             Finished(finished.job_id, finished.state, finished.shard, time.time(), finished.queue)
         ]
@@ -182,9 +182,9 @@
             for shard in (entry.delegated if entry else ())
             for kind in ("l", "r")
         ]
-        await self._book.write(records)
+        await self._job_registry.write(records)
         self._core.on_finished(finished.job_id)
-        self._changes.news()
+        self._changes.notify()
 
     async def begun_loop(self) -> None:
         """Write which jobs began."""
@@ -197,7 +197,7 @@
                 if job_id in self._core.jobs and not self._core.jobs[job_id].closing
             ]
             if records:
-                await self._book.write(records)
+                await self._job_registry.write(records)
 
     async def prune_loop(self) -> None:
         """Remove the final records that are past their time."""
@@ -206,12 +206,12 @@
             limit = time.time() - self._settings.bounds.state_kept_s - PRUNE_MARGIN_S
             old = [
                 record
-                for job_id, entry in self._book.catalog.of_shard(self._shard)
+                for job_id, entry in self._job_registry.catalog.of_shard(self._shard)
                 if entry.finished and entry.finished.at < limit
                 for record in _last_records(job_id, entry)
             ]
             if old:
-                await self._book.write(old)
+                await self._job_registry.write(old)
 
 
 def _last_records(job_id: str, entry: JobEntry) -> list[JobRecord]:
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -51,8 +51,8 @@
         self._settings = context.settings
         self._store = context.store
         self._partition = context.partition
-        self._book = context.book
-        self._registry = context.registry
+        self._job_registry = context.job_registry
+        self._executor_registry = context.executor_registry
         self._configuration = context.configuration
         self._log = context.log
         self._metrics = context.metrics
@@ -83,9 +83,9 @@
         """
         await self._until_stored(self._fence_former)
         records = await self._read_progress()
-        await self._until_stored(self._registry.follower.sync)
+        await self._until_stored(self._executor_registry.follower.sync)
         # Last, so that nothing is taken in on an older view of the jobs.
-        await self._until_stored(self._book.follower.sync)
+        await self._until_stored(self._job_registry.follower.sync)
         now = steady()
         core = self._core
         if self._configuration.current:
@@ -95,7 +95,7 @@
         )
         self._inherit(records.pop(ROSTER_KEY, b""), lapse)
         self._add_jobs(records, now)
-        core.list_executors(self._registry.executors(self._hall), now)
+        core.list_executors(self._executor_registry.executors(self._hall), now)
         self._done = True
         self._metrics.count("claims")
         self._metrics.observe("recovery", now - self._proof.claimed_at)
@@ -110,7 +110,7 @@
             **core.describe(),
         )
         self._watch.watch_all()
-        self._changes.news()
+        self._changes.notify()
 
     async def _read_progress(self) -> dict[bytes, bytes]:
         """Return the records of the shard; pages that came are kept over failures."""
@@ -144,7 +144,7 @@
             self._changes.roster = frozenset(core.executors)
         except RecordError as error:
             self._log.write(Event.RECORD_SKIPPED, partition="progress", error=str(error))
-            core.inherit(self._registry.executors(self._hall), lapse, read=False)
+            core.inherit(self._executor_registry.executors(self._hall), lapse, read=False)
 
     def _add_jobs(self, records: dict[bytes, bytes], now: float) -> None:
         progress: dict[str, dict[int, bytes]] = {}
@@ -155,7 +155,7 @@
                 self._log.write(Event.RECORD_SKIPPED, partition="progress", error=str(error))
                 continue
             progress.setdefault(run.job_id, {})[run.repetition] = value
-        for job_id, entry in list(self._book.catalog.of_shard(self._shard)):
+        for job_id, entry in list(self._job_registry.catalog.of_shard(self._shard)):
             runs = progress.pop(job_id, {})
             if entry.finished:
                 self._core.drop_progress(job_id, runs)
@@ -168,7 +168,7 @@
                 self._tell_again(job_id, entry)
         for job_id, runs in progress.items():
             # Of a job that is not known here another version may know: it stays on record.
-            if self._book.catalog.get(job_id):
+            if self._job_registry.catalog.get(job_id):
                 self._core.drop_progress(job_id, runs)
 
     def _is_moved(self, job_id: str, entry: JobEntry, runs: dict[int, bytes]) -> bool:
@@ -199,9 +199,11 @@
             untold = given & set(entry.open_delegations(self._shard))
             if untold:
                 before = entry.returned_delegations.get(self._shard, ())
-                self._book.write([Returned(job_id, self._shard, (*before, *sorted(untold)))])
+                self._job_registry.write(
+                    [Returned(job_id, self._shard, (*before, *sorted(untold)))]
+                )
             return
         self._feed.reclaim_tasks(job_id, entry, steady())
         for shard, delegations in self._core.delegations(job_id).items():
             if set(delegations) - set(entry.delegated.get(shard, ())):
-                self._book.write([Delegated(job_id, shard, delegations)])
+                self._job_registry.write([Delegated(job_id, shard, delegations)])
--- a/src/linkspan/shard/registry.py
+++ b/src/linkspan/shard/registry.py
@@ -231,7 +231,7 @@
         """The configuration in force, ``None`` before the first."""
         return self._current
 
-    def listen(self, listener: Callable[[Configuration], None]) -> Callable[[], None]:
+    def subscribe(self, listener: Callable[[Configuration], None]) -> Callable[[], None]:
         """Call a listener with each new configuration; return the way to end it."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
--- a/src/linkspan/shard/reports/_adoption.py
+++ b/src/linkspan/shard/reports/_adoption.py
@@ -12,7 +12,7 @@
 from linkspan.shard.reports._successions import answering
 
 if TYPE_CHECKING:
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import ExecutorReport, RunningTask, TaskName
     from linkspan.shard.reports._crashes import Crashes
@@ -26,7 +26,7 @@
     """Compares what executors report with what this tenure believes.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
         ends: Acts on ends.
         presence: Tells who is there.
         successions: Tells whose a report is.
@@ -35,13 +35,13 @@
 
     def __init__(
         self,
-        books: ShardBooks,
+        state: ShardState,
         ends: Ends,
         presence: Presence,
         successions: Successions,
         crashes: Crashes,
     ) -> None:
-        self._books = books
+        self._state = state
         self._ends = ends
         self._crashes = crashes
         self._presence = presence
@@ -49,7 +49,7 @@
         self._awaited: dict[Attempt, None] = {}
 
     def __repr__(self) -> str:
-        return f"Adoption({self._books!r})"
+        return f"Adoption({self._state!r})"
 
     def on_report(
         self, executor_id: str, report: ExecutorReport, *, asked: float, now: float
@@ -65,7 +65,7 @@
         if executor.clock is None:
             # Taken for lost, by this owner or a former one, it was only cut off.
             self._crashes.retract(executor.executor_id, "it answers")
-        self._books.hear(executor, report.clock_s, now)
+        self._state.hear(executor, report.clock_s, now)
         executor.reported_s = report.clock_s
         executor.reported_at = now
         for end in report.ended:
@@ -84,7 +84,7 @@
             executor.adopted = True
             # What a former owner held and let go since is not listed any more.
             executor.held.intersection_update(end.number for end in report.ended)
-            self._books.settle(executor.executor_id, "answered")
+            self._state.settle(executor.executor_id, "answered")
             self.tick(now)
 
     def tick(self, now: float) -> None:
@@ -114,7 +114,7 @@
         if attempt.sent_once and attempt.late_until != NEVER:
             # The only order for it was carried out.
             attempt.late_until = NEVER
-            self._books.touch(attempt.task.step.run)
+            self._state.touch(attempt.task.step.run)
         if attempt.phase is Phase.INHERITED:
             attempt.pace_known = False
         if attempt.phase is not Phase.STOPPING:
@@ -134,9 +134,9 @@
         A run that is to stop counts as an attempt until it has ended, so that its task
         is not started elsewhere before.
         """
-        task = self._books.find_task(row.task)
+        task = self._state.find_task(row.task)
         if task is None:
-            self._books.orders.append(StopOrder(executor.executor_id, row.task, row.run))
+            self._state.orders.append(StopOrder(executor.executor_id, row.task, row.run))
             self._log_unknown(executor, row)
             return None
         attempt = Attempt(task, row.run, executor.executor_id, Phase.RUNNING, now, now, found=True)
@@ -146,14 +146,14 @@
         task.next_run = max(task.next_run, row.run + 1)
         if self._wanted(task, row.run):
             for older in list(task.attempts):
-                self._books.detach(older)
-            self._books.attach(executor, attempt)
-            self._books.mark_begun(task.step.run.job)
+                self._state.detach(older)
+            self._state.attach(executor, attempt)
+            self._state.mark_begun(task.step.run.job)
         else:
             self._log_unknown(executor, row)
-            self._books.attach(executor, attempt)
-            self._books.order_stop(attempt, now)
-        self._books.touch(task.step.run)
+            self._state.attach(executor, attempt)
+            self._state.order_stop(attempt, now)
+        self._state.touch(task.step.run)
         return attempt
 
     def _wanted(self, task: Task, run: int) -> bool:
@@ -167,7 +167,7 @@
         return all(a.phase is Phase.INHERITED and a.run < run for a in task.attempts)
 
     def _log_unknown(self, executor: ExecutorState, row: RunningTask) -> None:
-        self._books.log_run(Event.UNKNOWN_RUN_STOPPED, executor.executor_id, row.task, row.run)
+        self._state.log_run(Event.UNKNOWN_RUN_STOPPED, executor.executor_id, row.task, row.run)
 
     def _on_missing(
         self,
@@ -185,10 +185,10 @@
             elif attempt.stop_taken_at is not None and attempt.stop_taken_at <= asked:
                 self._on_refused_from_now(attempt, now)
             elif attempt.phase is Phase.DOUBT:
-                self._books.start_again(attempt, now)
+                self._state.start_again(attempt, now)
             elif attempt.phase is Phase.RUNNING and attempt.confirmed_at < asked:
-                self._books.log_run(Event.RUN_LOST, executor.executor_id, *key)
-                self._books.order_stop(attempt, now)
+                self._state.log_run(Event.RUN_LOST, executor.executor_id, *key)
+                self._state.order_stop(attempt, now)
 
     def _on_refused_from_now(self, attempt: Attempt, now: float) -> None:
         """Resolve an attempt that was not there when its executor took a stop.
@@ -197,7 +197,7 @@
         """
         may_come_again = Incarnation.of(attempt.executor_id).started_at_ms is not None
         if not may_come_again or attempt.late_until <= now:
-            self._books.close(attempt, now)
+            self._state.close(attempt, now)
 
     def _on_former_start(self, attempt: Attempt, now: float) -> None:
         """Resolve an attempt on record that its executor does not name.
@@ -205,16 +205,16 @@
         It can no longer begin at that life, which has seen our higher token. At its next life it
         may, while the order is on its way: so the run begins there or nowhere.
         """
-        executor = self._books.executors.get(attempt.executor_id)
+        executor = self._state.executors.get(attempt.executor_id)
         if executor is None or executor.attempts.get(attempt.key) is not attempt:
             return
         if attempt.phase is not Phase.INHERITED:
             return
         if attempt.late_until <= now:
-            self._books.close(attempt, now)
+            self._state.close(attempt, now)
         elif self._presence.may_start(attempt.task.step.run.job, now):
             attempt.phase = Phase.DOUBT
-            self._books.start_again(attempt, now)
+            self._state.start_again(attempt, now)
         else:
             # Its sender may have given it up since, and begun a later run.
             self._awaited[attempt] = None
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -44,7 +44,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.attempt import Attempt
     from linkspan.shard.crash_history import CrashHistory
     from linkspan.shard.executor import ExecutorState
@@ -71,15 +71,15 @@
     """Counts crashes at the tasks that were there, and gives up those that they name.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
     """
 
-    def __init__(self, books: ShardBooks) -> None:
-        self._books = books
+    def __init__(self, state: ShardState) -> None:
+        self._state = state
         self._accused: dict[Task, tuple[Attempt, float]] = {}
 
     def __repr__(self) -> str:
-        return f"Crashes({len(self._books.executor_crashes)} falls)"
+        return f"Crashes({len(self._state.executor_crashes)} falls)"
 
     def on_gone(self, executor: ExecutorState, now: float, proof: str) -> None:
         """Take in that an incarnation ended; its attempts are still on the books."""
@@ -92,7 +92,7 @@
     def on_ends(self, incarnation: str, ended: Iterable[EndedTask]) -> None:
         """Take in ends that were told by a life that is over: those runs did not crash it."""
         for end in ended:
-            task = self._books.find_task(end.task)
+            task = self._state.find_task(end.task)
             crash = (
                 task.crash_history.crash_of(incarnation) if task and task.crash_history else None
             )
@@ -106,20 +106,20 @@
             incarnation: Name of the life.
             reason: What tells so, for the log.
         """
-        self._books.executor_crashes = [
-            fall for fall in self._books.executor_crashes if fall.executor_id != incarnation
+        self._state.executor_crashes = [
+            fall for fall in self._state.executor_crashes if fall.executor_id != incarnation
         ]
         tasks = [
             t
-            for t in self._books.suspects
+            for t in self._state.suspects
             if t.crash_history and t.crash_history.crash_of(incarnation)
         ]
         for task in tasks:
             self._retract(task, incarnation)
         if tasks:
-            self._books.count("crashes_taken_back")
+            self._state.count("crashes_taken_back")
             names = [short_name(task.name) for task in tasks[:MOST_TOLD]]
-            self._books.log(
+            self._state.log(
                 Event.CRASH_TAKEN_BACK,
                 executor=incarnation,
                 reason=reason,
@@ -130,11 +130,11 @@
     def _retract(self, task: Task, incarnation: str) -> None:
         if task.crash_history:
             run = task.step.run
-            self._books.touch(run)
+            self._state.touch(run)
             if task.managed_by is not None:
                 # The loan was told of it, and brings it back.
                 task.retracted_crashes.add(incarnation)
-            self._books.set_crash_history(
+            self._state.set_crash_history(
                 task, retract_crash(task.crash_history, incarnation, run.version)
             )
 
@@ -146,15 +146,15 @@
         fall = _fall(executor, crashed_at)
         beside = self._falls_beside(fall)
         # Also of an idle one: that it fell speaks for what was on those that fell beside it.
-        self._books.executor_crashes = [
-            *self._books.executor_crashes[1 - MAX_REMEMBERED_CRASHES :],
+        self._state.executor_crashes = [
+            *self._state.executor_crashes[1 - MAX_REMEMBERED_CRASHES :],
             fall,
         ]
         if not fall.had_isolated_task:
             self._excuse(beside)
         if not attempts:
             return
-        self._books.count("crashes")
+        self._state.count("crashes")
         by_age = sorted(attempts, key=lambda a: worked_s(a, crashed_at))
         self._log(executor, by_age, crashed_at, now, proof=proof, beside=len(beside))
         untried = sum(not other.had_isolated_task for other in beside)
@@ -182,21 +182,21 @@
             for task in other.blamed_tasks:
                 if task.crash_history:
                     run = task.step.run
-                    self._books.touch(run)
+                    self._state.touch(run)
                     excused = clear_blame(task.crash_history, other.executor_id, run.version)
-                    self._books.set_crash_history(task, excused)
+                    self._state.set_crash_history(task, excused)
             other.blamed_tasks.clear()
 
     def _falls_beside(self, fall: ExecutorCrash) -> list[ExecutorCrash]:
         """Return the other executors that may have fallen at the same time."""
         silent = (
             _fall(e, e.silent_since)
-            for e in self._books.executors.values()
+            for e in self._state.executors.values()
             if e.silent_since is not None
         )
         return [
             other
-            for other in (*self._books.executor_crashes, *silent)
+            for other in (*self._state.executor_crashes, *silent)
             if _id(other) != _id(fall) and fall.may_be_simultaneous_with(other)
         ]
 
@@ -213,14 +213,14 @@
         if task.done or task.step.run.job.closing:
             return
         if worked >= CLEARED_AFTER_S:
-            self._books.set_crash_history(task, None)
+            self._state.set_crash_history(task, None)
             return
         if not crash.confirmed and not counts_unheard(attempt):
             return
         run = task.step.run
-        self._books.touch(run)
+        self._state.touch(run)
         known = add_crash(task.crash_history, crash, run.version, alone=alone)
-        self._books.set_crash_history(task, replace(known, give_up_deferred=known.should_give_up))
+        self._state.set_crash_history(task, replace(known, give_up_deferred=known.should_give_up))
 
     def _accuse(self, attempt: Attempt, now: float, *, convicts: bool) -> None:
         """Give a task up that is convicted, unless a fall beside is found right after.
@@ -257,7 +257,7 @@
             not fall.had_isolated_task
             and fall.executor_id not in incarnations
             and now - fall.by < RECENT_CRASH_S
-            for fall in self._books.executor_crashes
+            for fall in self._state.executor_crashes
         )
         return (
             MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL
@@ -273,8 +273,8 @@
             return
         if not known.should_give_up_with(self._least_certain(known, now)):
             return
-        self._books.count("tasks_given_up")
-        self._books.log_run(
+        self._state.count("tasks_given_up")
+        self._state.log_run(
             Event.TASK_GIVEN_UP,
             attempt.executor_id,
             task.name,
@@ -285,7 +285,7 @@
             points=known.crash_score,
         )
         why = {"reason": GIVE_UP_REASON, "task": short_name(task.name), "run": attempt.run}
-        self._books.decide(job, JobState.FAILED, **why)
+        self._state.decide(job, JobState.FAILED, **why)
 
     def _log(
         self,
@@ -298,7 +298,7 @@
         beside: int,
     ) -> None:
         tasks = {_name(a): _told(a, crashed_at) for a in by_age}
-        self._books.log(
+        self._state.log(
             Event.EXECUTOR_CRASHED,
             executor=executor.executor_id,
             address=executor.record.address,
--- a/src/linkspan/shard/reports/_ends.py
+++ b/src/linkspan/shard/reports/_ends.py
@@ -6,7 +6,7 @@
 
 from linkspan.events import Event
 from linkspan.jobs.records import JobState
-from linkspan.shard._line_limit import LineLimit
+from linkspan.shard._log_rate_limiter import LogRateLimiter
 from linkspan.shard._reasons import used_up
 from linkspan.shard.attempt import NEVER
 from linkspan.shard.executor import UnackedEnd
@@ -14,10 +14,14 @@
 from linkspan.shard.job_run import INHERITED_RUN_GAP
 from linkspan.shard.messages import EndKind
 from linkspan.shard.orders._orders import LATE_START_S
-from linkspan.shard.planning._outlook import REFRESH_EVERY, note_length, refresh_outlook
+from linkspan.shard.planning._expected_durations import (
+    REFRESH_EVERY,
+    record_duration,
+    update_expected_durations,
+)
 
 if TYPE_CHECKING:
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.attempt import Attempt
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import EndedTask
@@ -33,26 +37,26 @@
     """Acts on the ends that executors list.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
     """
 
-    def __init__(self, books: ShardBooks) -> None:
-        self._books = books
-        self._unknown = LineLimit(MOST_UNKNOWN_PER_S)
+    def __init__(self, state: ShardState) -> None:
+        self._state = state
+        self._unknown = LogRateLimiter(MOST_UNKNOWN_PER_S)
 
     def __repr__(self) -> str:
-        return f"Ends({self._books!r})"
+        return f"Ends({self._state!r})"
 
     def on_end(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
         """Act on an end; it is acknowledged once what follows from it is durable."""
         executor.seen = end.number
-        task = self._books.find_task(end.task)
+        task = self._state.find_task(end.task)
         run = task.step.run if task else None
         attempt = executor.attempts.get((end.task, end.run))
         held_until = _held_until(executor, end, task, attempt, now)
         if task:
             # Also a run that only its end tells of: the job must not move whole any more.
-            self._books.mark_begun(task.step.run.job)
+            self._state.mark_begun(task.step.run.job)
             self._apply_end(executor, task, end, now)
         else:
             self._log_unknown(executor, end, now)
@@ -60,22 +64,22 @@
         executor.unacked.append(UnackedEnd(end.number, run, version, held_until))
         if held_until > now:
             executor.held.add(end.number)
-            self._books.holds += 1
+            self._state.holds += 1
 
     def _log_unknown(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
         """Tell of an end that is taken note of with nothing durable."""
         left_out = self._unknown.take(now)
         if left_out is None:
             return
-        self._books.log_run(
+        self._state.log_run(
             Event.END_UNKNOWN,
             executor.executor_id,
             end.task,
             end.run,
             how=end.kind.value,
-            shard=self._books.shard,
-            token=self._books.token,
-            left=end.task.job_id in self._books.left,
+            shard=self._state.shard,
+            token=self._state.token,
+            left=end.task.job_id in self._state.left,
             left_out=left_out,
         )
 
@@ -83,7 +87,7 @@
         attempt = executor.attempts.get((end.task, end.run))
         task.next_run = max(task.next_run, end.run + 1)
         if attempt:
-            self._books.detach(attempt)
+            self._state.detach(attempt)
         if not (attempt and attempt.copy):
             task.save(end.run, end.checkpoint)
         if end.kind is EndKind.DONE:
@@ -92,15 +96,15 @@
             self._on_failed(executor, task, end, now)
         elif attempt and not attempt.moved and not task.step.run.job.closing:
             how = end.kind.value
-            self._books.log_run(Event.RUN_ENDED, executor.executor_id, end.task, end.run, how=how)
+            self._state.log_run(Event.RUN_ENDED, executor.executor_id, end.task, end.run, how=how)
         if task.pending:
-            self._books.mark_ready(task, now)
-        self._books.touch(task.step.run)
+            self._state.mark_ready(task, now)
+        self._state.touch(task.step.run)
 
     def _on_done(
         self, executor: ExecutorState, task: Task, attempt: Attempt | None, now: float
     ) -> None:
-        self._books.health.succeeded(executor.executor_id)
+        self._state.health.succeeded(executor.executor_id)
         if task.done:
             return
         if attempt and attempt.confirmed_at > 0 and not attempt.found:
@@ -114,16 +118,16 @@
         run = task.step.run
         if task.step.left == 0:
             self._note_length(task.step)
-            self._books.open_steps(run, now)
+            self._state.open_steps(run, now)
         if run.done:
-            self._books.finish_if_done(run.job)
+            self._state.finish_if_done(run.job)
 
     def _note_length(self, step: StepRun) -> None:
-        lengths = self._books.lengths
-        note_length(step, lengths)
+        lengths = self._state.durations
+        record_duration(step, lengths)
         if lengths.learnt % REFRESH_EVERY == 0:
-            for job in self._books.jobs.values():
-                refresh_outlook(job, lengths)
+            for job in self._state.jobs.values():
+                update_expected_durations(job, lengths)
 
     def _mark_done(self, task: Task, now: float) -> None:
         if task.done:
@@ -134,7 +138,7 @@
             # The run that ended is detached; a copy of it is no longer wanted.
             # Members of a gang end by themselves.
             if not task.step.spec.gang:
-                self._books.order_stop(other, now)
+                self._state.order_stop(other, now)
 
     def _note_duration(
         self, executor: ExecutorState, task: Task, took_s: float, now: float
@@ -145,7 +149,7 @@
             return
         like = step.median_s
         if like > 0:
-            self._books.health.took(executor.executor_id, took_s / like, now)
+            self._state.health.took(executor.executor_id, took_s / like, now)
 
     def _on_failed(self, executor: ExecutorState, task: Task, end: EndedTask, now: float) -> None:
         job = task.step.run.job
@@ -162,7 +166,7 @@
         counts: dict[str, Any] = {"failures": failures, "most": job.max_attempts}
         if task.failures == known:
             # It was counted before, and its end had not been acknowledged.
-            self._books.count("failures_heard_again")
+            self._state.count("failures_heard_again")
             self._log_failed(executor, end, event=Event.FAILURE_HEARD_AGAIN, **counts)
             return
         task.avoid.add(executor.executor_id)
@@ -170,7 +174,7 @@
         self._note_health(executor, task, now)
         if job.used_up(failures):
             why = used_up(task, failures, job.max_attempts)
-            self._books.decide(job, JobState.FAILED, **why, run=end.run)
+            self._state.decide(job, JobState.FAILED, **why, run=end.run)
 
     def _log_failed(
         self,
@@ -180,16 +184,16 @@
         event: Event = Event.RUN_FAILED,
         **counts: Any,
     ) -> None:
-        self._books.log_run(event, executor.executor_id, end.task, end.run, **counts)
+        self._state.log_run(event, executor.executor_id, end.task, end.run, **counts)
 
     def _note_health(self, executor: ExecutorState, task: Task, now: float) -> None:
         """Have an executor rest at which tasks of several jobs failed."""
         job_id = task.name.job_id
-        until = self._books.health.failed(executor.executor_id, job_id, now)
+        until = self._state.health.failed(executor.executor_id, job_id, now)
         if until is None:
             return
         executor.distrusted_until = max(executor.distrusted_until, until)
-        self._books.log(
+        self._state.log(
             Event.EXECUTOR_DISTRUSTED,
             executor=executor.executor_id,
             seconds=round(until - now, 2),
--- a/src/linkspan/shard/reports/_presence.py
+++ b/src/linkspan/shard/reports/_presence.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.attempt import Attempt
     from linkspan.shard.messages import ExecutorRecord
     from linkspan.shard.reports._crashes import Crashes
@@ -30,20 +30,20 @@
     """Tells when what may run on an executor has surely ended.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
         crashes: Counts crashes.
         successions: Keeps what may be at an executor's next life.
     """
 
-    def __init__(self, books: ShardBooks, crashes: Crashes, successions: Successions) -> None:
-        self._books = books
+    def __init__(self, state: ShardState, crashes: Crashes, successions: Successions) -> None:
+        self._state = state
         self._crashes = crashes
         self._successions = successions
         self._inherited_until = float("-inf")
         self._roster_read = True
 
     def __repr__(self) -> str:
-        return f"Presence({self._books!r})"
+        return f"Presence({self._state!r})"
 
     def inherit(self, roster: Iterable[ExecutorRecord], until: float, *, read: bool = True) -> None:
         """Take over executors on which a former owner may have started work.
@@ -60,7 +60,7 @@
             executor.rostered = read
             executor.listed = False
             executor.held.update(record.held)
-            self._books.adopting_ids.add(record.executor_id)
+            self._state.adopting_ids.add(record.executor_id)
 
     def may_start(self, job: ShardJob, now: float) -> bool:
         """Whether no former owner's unrecorded run of a job can be alive, or have ended unseen.
@@ -72,7 +72,7 @@
             return True
         if not (self._roster_read or self._over(self._inherited_until, now)):
             return False
-        unanswered = map(self._books.executors.__getitem__, self._books.adopting_ids)
+        unanswered = map(self._state.executors.__getitem__, self._state.adopting_ids)
         return all(self._lapsed(executor, now) for executor in unanswered)
 
     def list_executors(
@@ -89,9 +89,9 @@
         self._excuse_planned(named)
         listed = {r.executor_id: r for r in named if not self._successions.is_over(r.executor_id)}
         for executor_id, record in listed.items():
-            known = self._books.executors.get(executor_id)
+            known = self._state.executors.get(executor_id)
             if known is None:
-                self._books.log(Event.EXECUTOR_SEEN, executor=executor_id, address=record.address)
+                self._state.log(Event.EXECUTOR_SEEN, executor=executor_id, address=record.address)
                 known = self._add_executor(record)
             known.register(record)
             if executor_id in missing:
@@ -100,11 +100,11 @@
             else:
                 known.entry_went_at = NEVER_LEAVES
             if record.draining and known.leaves_at == NEVER_LEAVES:
-                self._books.log(
+                self._state.log(
                     Event.EXECUTOR_DRAINING, executor=executor_id, remaining_s=record.remaining_s
                 )
                 known.leaves_at = now + record.remaining_s
-        for executor_id, known in list(self._books.executors.items()):
+        for executor_id, known in list(self._state.executors.items()):
             if executor_id in listed:
                 continue
             if known.missing_since == NEVER_LEAVES:
@@ -122,14 +122,14 @@
                 answered later, or not at all, may be at a next one under its id. ``None`` where
                 that cannot be, since another id answers at its address.
         """
-        executor = self._books.executors.get(executor_id)
+        executor = self._state.executors.get(executor_id)
         if executor is None:
             return
         unsure = [] if since is None else unsure_since(executor, since)
         if executor.is_placeholder and unsure:
             self._release(executor, now, keep=unsure)
             return
-        self._books.log(
+        self._state.log(
             Event.EXECUTOR_GONE,
             executor=executor_id,
             proof=proof,
@@ -146,12 +146,12 @@
 
     def on_silent(self, executor_id: str, now: float, *, cause: str = "") -> None:
         """Take in that a call to an executor got no answer, or none that decodes."""
-        executor = self._books.executors.get(executor_id)
+        executor = self._state.executors.get(executor_id)
         if executor is None:
             return
         if executor.silent_since is None:
             executor.silent_since = now
-            self._books.log(
+            self._state.log(
                 Event.EXECUTOR_SILENT,
                 executor=executor_id,
                 runs=len(executor.attempts),
@@ -166,7 +166,7 @@
         The store may tell that an executor leaves after another one answers at its address.
         """
         for record in records:
-            if record.draining and record.executor_id not in self._books.executors:
+            if record.draining and record.executor_id not in self._state.executors:
                 self._crashes.retract(record.executor_id, "it left as planned")
 
     def _named(self, record: ExecutorRecord) -> ExecutorRecord:
@@ -176,22 +176,22 @@
         """
         if Incarnation.of(record.executor_id).started_at_ms is not None:
             return record
-        incarnations = self._books.incarnations_by_id.get(record.executor_id, {})
+        incarnations = self._state.incarnations_by_id.get(record.executor_id, {})
         met = next(
             (name for name, known in incarnations.items() if known.adopted), record.executor_id
         )
         return replace(record, executor_id=met)
 
     def _add_executor(self, record: ExecutorRecord) -> ExecutorState:
-        executor = self._books.executors.get(record.executor_id)
+        executor = self._state.executors.get(record.executor_id)
         if executor is None:
             executor = ExecutorState(record)
-            self._books.add_executor(executor)
+            self._state.add_executor(executor)
         return executor
 
     def _held(self, executor: ExecutorState) -> bool:
         """Whether anything waits for what may run on an executor to be over."""
-        waited_for = executor.executor_id in self._books.adopting_ids
+        waited_for = executor.executor_id in self._state.adopting_ids
         return waited_for or bool(executor.attempts) or not executor.listed
 
     def _lapsed(self, executor: ExecutorState, now: float) -> bool:
@@ -203,11 +203,11 @@
 
     def _over(self, ended_at: float, now: float) -> bool:
         """Whether a lease is over that ends at a steady time, and that no later owner renewed."""
-        return ended_at <= min(now, self._books.sole_until)
+        return ended_at <= min(now, self._state.sole_until)
 
     def _on_lapsed(self, executor: ExecutorState, now: float) -> None:
         if executor.attempts:
-            self._books.log(
+            self._state.log(
                 Event.LEASES_LAPSED,
                 executor=executor.executor_id,
                 runs=len(executor.attempts),
@@ -218,9 +218,9 @@
         if not executor.listed and not executor.is_placeholder:
             self._crashes.on_lost(executor, now)
         self._release(executor, now)
-        self._books.settle(executor.executor_id, "lapsed")
+        self._state.settle(executor.executor_id, "lapsed")
         if not executor.listed:
-            self._books.remove_executor(executor.executor_id)
+            self._state.remove_executor(executor.executor_id)
 
     def _release(
         self, executor: ExecutorState, now: float, *, keep: Iterable[Attempt] = ()
@@ -228,4 +228,4 @@
         kept = set(keep)
         for attempt in list(executor.attempts.values()):
             if attempt not in kept:
-                self._books.close(attempt, now)
+                self._state.close(attempt, now)
--- a/src/linkspan/shard/reports/_successions.py
+++ b/src/linkspan/shard/reports/_successions.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from linkspan.events import Event
-from linkspan.shard._line_limit import LineLimit
+from linkspan.shard._log_rate_limiter import LogRateLimiter
 from linkspan.shard.attempt import NEVER, Attempt, Phase
 from linkspan.shard.executor import ExecutorState
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.leases import next_incarnation_lease_expiry
 
 if TYPE_CHECKING:
-    from linkspan.shard._books import ShardBooks
+    from linkspan.shard._shard_state import ShardState
     from linkspan.shard.messages import ExecutorReport
     from linkspan.shard.reports._crashes import Crashes
 
@@ -31,15 +31,15 @@
     after the other's answer was read.
 
     Args:
-        books: The shard's state.
+        state: The shard's state.
         crashes: Counts crashes.
     """
 
-    def __init__(self, books: ShardBooks, crashes: Crashes) -> None:
-        self._books = books
+    def __init__(self, state: ShardState, crashes: Crashes) -> None:
+        self._state = state
         self._crashes = crashes
         self._over: dict[str, float] = {}
-        self._passed_over = LineLimit(MOST_PASSED_OVER_PER_S)
+        self._passed_over = LogRateLimiter(MOST_PASSED_OVER_PER_S)
 
     def __repr__(self) -> str:
         return f"Successions({len(self._over)} lives over)"
@@ -50,11 +50,11 @@
 
     def end(self, executor: ExecutorState, now: float) -> None:
         """Take a life off the books; what is on it stays for the caller to settle."""
-        self._books.remove_executor(executor.executor_id)
+        self._state.remove_executor(executor.executor_id)
         if not executor.is_placeholder:
             self._over[executor.executor_id] = now
-        self._books.settle(executor.executor_id, "gone")
-        self._books.health.forget(executor.executor_id)
+        self._state.settle(executor.executor_id, "gone")
+        self._state.health.forget(executor.executor_id)
 
     def meet(
         self, executor_id: str, report: ExecutorReport, *, asked: float, now: float
@@ -70,15 +70,15 @@
             now: Steady time of the answer.
         """
         name = answering(executor_id, report)
-        incarnations = self._books.incarnations_by_id.get(Incarnation.of(name).executor_id, {})
+        incarnations = self._state.incarnations_by_id.get(Incarnation.of(name).executor_id, {})
         others = [e for e in incarnations.values() if e.executor_id != name]
         if asked <= max([self._over.get(name, NEVER), *(e.reported_at for e in others)]):
             # It may be of a life that ended while this answer was on its way.
             self.pass_over(name, "another life of its id answered since it was asked", now)
             return None
-        executor = self._books.executors.get(name)
+        executor = self._state.executors.get(name)
         if executor is None:
-            known = self._books.executors.get(executor_id) or next(iter(others), None)
+            known = self._state.executors.get(executor_id) or next(iter(others), None)
             if known is None:
                 return None
             executor = self._begin(known, name)
@@ -91,27 +91,27 @@
         if asked <= self._over.get(name, NEVER):
             self.pass_over(name, "another life of its id answered since it was asked", now)
             return
-        known = self._books.executors.get(executor_id)
-        if known and name not in self._books.executors:
+        known = self._state.executors.get(executor_id)
+        if known and name not in self._state.executors:
             self._begin(known, name)
 
     def await_next(self, executor: ExecutorState, unsure: list[Attempt], now: float) -> None:
         """Keep what an executor's next life may carry out, until that answers or its lease ends."""
         name = Incarnation.of(executor.executor_id).executor_id
-        waiting = self._books.executors.get(name)
+        waiting = self._state.executors.get(name)
         if waiting is None:
             waiting = self._begin(executor, name, is_placeholder=True)
-        lapses_at = next_incarnation_lease_expiry(now, self._books.bounds.max_lease_s)
+        lapses_at = next_incarnation_lease_expiry(now, self._state.bounds.max_lease_s)
         waiting.lapses_at = max(lapses_at, *(a.late_until for a in unsure))
         for attempt in unsure:
             self._move(attempt, executor, waiting, now)
 
     def pass_over(self, executor_id: str, reason: str, now: float) -> None:
         """Tell of a report from which nothing is concluded."""
-        self._books.count("reports_passed_over")
+        self._state.count("reports_passed_over")
         left_out = self._passed_over.take(now)
         if left_out is not None:
-            self._books.log(
+            self._state.log(
                 Event.REPORT_PASSED_OVER, executor=executor_id, reason=reason, left_out=left_out
             )
 
@@ -124,7 +124,7 @@
         )
         executor.listed = False
         self._over.pop(name, None)
-        self._books.add_executor(executor)
+        self._state.add_executor(executor)
         return executor
 
     def _succeed(
@@ -144,7 +144,7 @@
                 self._move(attempt, former, executor, now)
         if _was_there(former):
             self._crashes.on_gone(former, now, ANSWERED_PROOF)
-            self._books.count("restarts")
+            self._state.count("restarts")
         unsure = [
             a
             for a in former.attempts.values()
@@ -155,8 +155,8 @@
         self.end(former, now)
         lost = list(former.attempts.values())
         for attempt in lost:
-            self._books.close(attempt, now)
-        self._books.log(
+            self._state.close(attempt, now)
+        self._state.log(
             Event.EXECUTOR_RESTARTED,
             executor=executor.executor_id,
             before=former.executor_id,
@@ -183,7 +183,7 @@
             # It ended with the life that it ran on, and an order for it may come to this one.
             attempt.phase = Phase.DOUBT
         elif attempt.phase is Phase.STOPPING:
-            self._books.send_stop(attempt, now)
+            self._state.send_stop(attempt, now)
 
 
 def answering(executor_id: str, report: ExecutorReport) -> str:
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -97,7 +97,7 @@
 
     def __init__(self, context: TenureContext) -> None:
         self._core = context.core
-        self._book = context.book
+        self._job_registry = context.job_registry
         self._shard = context.shard
         self._settings = context.settings
         self._calls = context.calls
@@ -106,7 +106,7 @@
         self._scope = context.scope
         self._proof = context.proof
         self._changes = context.changes
-        self._pacer = Pacer(self._core, self._core.colocation)
+        self._pacer = Pacer(self._core, self._core.interference)
         # By state and not by name: one that leaves the books may be back at once, under its name.
         self._watchers: dict[ExecutorState, asyncio.Task[None] | None] = {}
         self._cancelled = False
@@ -159,7 +159,7 @@
             for executor_id, since in watch.gone(machines, known, asked=asked).items():
                 self._core.on_gone(executor_id, steady(), "machine lists it no more", since=since)
                 self._follow_lives()
-                self._changes.news()
+                self._changes.notify()
 
     def _rostered(self) -> set[str]:
         return {e.executor_id for e in self._core.executors.values() if e.rostered}
@@ -215,11 +215,11 @@
         except WrongIncarnation:
             self._core.on_gone(executor.executor_id, steady(), "another incarnation answers")
             self._follow_lives()
-            self._changes.news()
+            self._changes.notify()
             return False
         except Unreachable as error:
             self._core.on_silent(executor.executor_id, steady(), cause=str(error))
-            self._changes.news()
+            self._changes.notify()
             return False
         name = answering(executor.executor_id, report)
         if name != executor.executor_id:
@@ -237,7 +237,7 @@
             executor.figures_at = now
             self._pacer.on_report(executor, now, time.time())
         self._follow_lives()
-        self._changes.news()
+        self._changes.notify()
         return True
 
     async def _known_part(self, report: ExecutorReport, *, first: bool) -> ExecutorReport:
@@ -252,9 +252,9 @@
         if not unknown and not first:
             return report
         if first:
-            read = await self._book.refresh(fresh_s=0.0, limit_s=FIRST_REFRESH_S)
+            read = await self._job_registry.refresh(fresh_s=0.0, limit_s=FIRST_REFRESH_S)
         else:
-            read = await self._book.refresh(fresh_s=0.0)
+            read = await self._job_registry.refresh(fresh_s=0.0)
         if read:
             return report
         return report.without(unknown)
--- a/src/linkspan/shard/reports/health.py
+++ b/src/linkspan/shard/reports/health.py
@@ -45,14 +45,14 @@
     slow_until: float = 0.0
 
 
-class HealthBook:
+class ExecutorHealth:
     """Keeps what each executor's runs tell about it."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def __repr__(self) -> str:
-        return f"HealthBook({len(self._records)} executors)"
+        return f"ExecutorHealth({len(self._records)} executors)"
 
     def succeeded(self, executor_id: str) -> None:
         """Note that a run ended well there."""
--- a/src/linkspan/shard/shard_job.py
+++ b/src/linkspan/shard/shard_job.py
@@ -35,11 +35,11 @@
         stretch: Part of its objective, in times of its longest chain of steps.
         target_s: Time that its objective has beside that.
         objective_s: Time from acceptance in which it is to be done, as expected.
-        step_took_s: Times of the steps that have ended, in seconds.
-        lengths_s: For each step, time that one of its tasks is expected to take.
-        after_s: For each step, time of the longest chain that begins with it.
+        measured_durations_s: Times of the steps that have ended, in seconds.
+        expected_durations_s: For each step, time that one of its tasks is expected to take.
+        remaining_path_s: For each step, time of the longest chain that begins with it.
         service: Service whose executors run it.
-        advised: Whether its queue's policy decides where its steps may run.
+        requires_ticket: Whether its queue's policy decides where its steps may run.
         ticket_valid_s: How long a ticket of that policy holds, in seconds.
     """
 
@@ -57,17 +57,17 @@
     stretch: float = 1.0
     target_s: float = 0.0
     objective_s: float = 0.0
-    step_took_s: dict[int, float] = field(default_factory=dict)
-    lengths_s: tuple[float, ...] = ()
-    after_s: tuple[float, ...] = ()
+    measured_durations_s: dict[int, float] = field(default_factory=dict)
+    expected_durations_s: tuple[float, ...] = ()
+    remaining_path_s: tuple[float, ...] = ()
     service: str = ""
-    advised: bool = False
+    requires_ticket: bool = False
     ticket_valid_s: float = 0.0
 
     def __post_init__(self) -> None:
         # Until more is known, the caller's guesses stand.
-        self.lengths_s = tuple(step.estimate_s for step in self.spec.steps)
-        self.after_s = self.spec.after(self.lengths_s)
+        self.expected_durations_s = tuple(step.estimate_s for step in self.spec.steps)
+        self.remaining_path_s = self.spec.longest_paths_from(self.expected_durations_s)
 
     @property
     def spec(self) -> JobSpec:
@@ -108,7 +108,7 @@
         self.stretch = terms.stretch
         self.target_s = terms.target_s
         self.service = terms.service
-        self.advised = terms.advice is not None
+        self.requires_ticket = terms.advice is not None
         self.ticket_valid_s = terms.advice.valid_s if terms.advice else 0.0
 
     def used_up(self, failures: int) -> bool:
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -18,7 +18,7 @@
 from linkspan.events import Event
 from linkspan.shard._changes import Changes
 from linkspan.shard._context import TenureContext
-from linkspan.shard.colocation._news import EffectNews
+from linkspan.shard.colocation._effect_selector import EffectSelector
 from linkspan.shard.core import ShardCore
 from linkspan.shard.handover._handovers import Handovers
 from linkspan.shard.handover.summary import summarize
@@ -27,8 +27,8 @@
 from linkspan.shard.orders._dispatch import Dispatcher
 from linkspan.shard.ownership._proof import OwnershipProof, TenureLost
 from linkspan.shard.ownership._scope import Scope
-from linkspan.shard.planning._advisor import Advisor
-from linkspan.shard.recovery._records import RecordKeeper
+from linkspan.shard.planning._advisor import AdviceRequester
+from linkspan.shard.recovery._records import RecordWriter
 from linkspan.shard.recovery._recovery import Recovery
 from linkspan.shard.reports._watch import ExecutorWatch
 from linkspan.store.types import Partition
@@ -38,7 +38,7 @@
     from collections.abc import Callable
 
     from linkspan.events import EventLog
-    from linkspan.jobs.job_book import JobBook
+    from linkspan.jobs.job_registry import JobRegistry
     from linkspan.metrics import HostMetrics
     from linkspan.model.configuration import Configuration
     from linkspan.model.settings import HostSettings
@@ -67,8 +67,8 @@
         executors: Makes calls to executors under a fencing token.
         machines: The machine service, where there is one.
         policy: The placement policies' service, where there is one.
-        book: The jobs.
-        registry: The registered executors.
+        job_registry: The jobs.
+        executor_registry: The registered executors.
         configuration: The configuration in force.
         shard: Number of the shard.
         summary_of: Returns what the owner of a shard last told.
@@ -86,8 +86,8 @@
         executors: Callable[[int], Executors],
         machines: MachineService | None,
         policy: PolicyService | None,
-        book: JobBook,
-        registry: ExecutorRegistry,
+        job_registry: JobRegistry,
+        executor_registry: ExecutorRegistry,
         configuration: ConfigurationWatch,
         shard: int,
         summary_of: Callable[[int], HallSummary | None],
@@ -100,13 +100,13 @@
         partition = Partition("progress", shard, keyed=True)
         self._owner = owner
         self._shard = shard
-        self._book = book
-        self._registry = registry
+        self._job_registry = job_registry
+        self._executor_registry = executor_registry
         self._configuration = configuration
         self._log = log
         self._core = core
         self._writer = GroupWriter(store, partition, name="owner", epoch=owner.token)
-        self._news = EffectNews()
+        self._news = EffectSelector()
         self._changes = Changes(core)
         self._scope = Scope()
         self._proof = OwnershipProof(
@@ -122,8 +122,8 @@
             writer=self._writer,
             calls=ExecutorCalls(executors, core.outdated),
             machines=machines,
-            book=book,
-            registry=registry,
+            job_registry=job_registry,
+            executor_registry=executor_registry,
             configuration=configuration,
             log=log,
             metrics=metrics,
@@ -133,11 +133,11 @@
             proof=self._proof,
         )
         self._hall = context.hall
-        self._records = RecordKeeper(context)
+        self._records = RecordWriter(context)
         self._watch = ExecutorWatch(context)
         self._dispatcher = Dispatcher(context, self._watch)
         self._handovers = Handovers(context, summary_of)
-        self._advisor = Advisor(context, policy)
+        self._advisor = AdviceRequester(context, policy)
         self._feed = JobFeed(context)
         self._recovery = Recovery(
             context, self._feed, self._handovers, self._watch, claim.former_offline_s
@@ -177,8 +177,8 @@
         """
         scope = self._scope
         stop_listening = [
-            self._book.listen(self._on_job),
-            self._configuration.listen(self._on_configuration),
+            self._job_registry.subscribe(self._on_job),
+            self._configuration.subscribe(self._on_configuration),
         ]
         try:
             async with asyncio.TaskGroup() as group:
@@ -219,19 +219,21 @@
         if not self._recovery.done:
             return
         self._core.list_executors(
-            self._registry.executors(self._hall), steady(), missing=self._registry.missing
+            self._executor_registry.executors(self._hall),
+            steady(),
+            missing=self._executor_registry.missing,
         )
         self._watch.watch_all()
-        self._changes.news()
+        self._changes.notify()
 
     def summary(self) -> HallSummary:
         """Return the state of the hall for other hosts, with what is news of its effects."""
-        news = self._news.take(self._core.colocation.effects())
+        news = self._news.select(self._core.interference.effects())
         return replace(summarize(self._core, steady()), effects=news)
 
     def adopt(self, summary: HallSummary) -> None:
         """Take over what the owner of another hall learnt."""
-        self._core.colocation.adopt(summary.effects, steady())
+        self._core.interference.adopt(summary.effects, steady())
 
     def _on_job(self, job_id: str) -> None:
         if self._recovery.done:
@@ -239,7 +241,7 @@
 
     def _on_configuration(self, configuration: Configuration) -> None:
         self._core.configure(configuration)
-        self._changes.news()
+        self._changes.notify()
 
     async def _tick_loop(self) -> None:
         while True:
--- a/tests/fuzz/test_whole_hosts.py
+++ b/tests/fuzz/test_whole_hosts.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from linkspan.errors import InvalidInput, Unreachable
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.platform.jobs import job_from_wire
 from linkspan.shard.messages import EndedTask, EndKind, ExecutorReport, RunningTask, TaskName
 from linkspan.shard.recovery.progress import ROSTER_KEY, RunKey
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from linkspan.host.host import Adapter, Host
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.metrics import HostMetrics
 from linkspan.model.configuration import Configuration, Service
 from linkspan.model.settings import Bounds, HostSettings, StoreLimits
--- a/tests/host/overlapping_day.py
+++ b/tests/host/overlapping_day.py
@@ -94,7 +94,9 @@
         until = loop.time() + TRAFFIC_S
         while loop.time() < until:
             await asyncio.sleep(COMPARED_S)
-            books = [(name, running.host.book) for name, running in self.world.hosts.items()]
+            books = [
+                (name, running.host.job_registry) for name, running in self.world.hosts.items()
+            ]
             self.world.broken += self.world.one_hall.compare(books)
 
     async def _trouble(self, at: float) -> None:
--- a/tests/host/removed_queue_day.py
+++ b/tests/host/removed_queue_day.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from linkspan.jobs.spec import JobSpec
--- a/tests/host/test_answers_in_time.py
+++ b/tests/host/test_answers_in_time.py
@@ -10,7 +10,7 @@
 from aiohttp.test_utils import make_mocked_request
 
 from linkspan.errors import StoreUnanswered
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from linkspan.jobs.spec import JobSpec
@@ -56,7 +56,7 @@
     host = world.start_host(HOST).host
     await asyncio.sleep(0.5)
     assert host.configuration.current
-    assert not host.book.follower.ready
+    assert not host.job_registry.follower.ready
 
 
 def test_a_host_that_still_reads_answers_before_its_callers_leave() -> None:
@@ -126,14 +126,14 @@
         began = asyncio.get_running_loop().time()
         await running.host.drain(notice_s=0.5, limit_s=4.5)
         assert (await asking).status == 503
-        late = asyncio.create_task(running.host.book.follower.sync())
+        late = asyncio.create_task(running.host.job_registry.follower.sync())
         await asyncio.sleep(0.01)
         running.task.cancel()
         await asyncio.gather(running.task, return_exceptions=True)
         assert asyncio.get_running_loop().time() - began < CALLER_S
         with pytest.raises(StoreUnanswered):
             await late
-        reading = running.host.book.follower._reading
+        reading = running.host.job_registry.follower._reading
         assert reading and reading.done()
 
     run_virtual(play())
--- a/tests/host/test_cancelled_work.py
+++ b/tests/host/test_cancelled_work.py
@@ -161,7 +161,7 @@
         assert await world.submit("east-host-0", spec) == 200
         await asyncio.sleep(7.0 + seed)
         assert all(any(running_in(world, hall)) for hall in world.halls)
-        place = next(r for r in world.hosts.values()).host.book.catalog.get(spec.job_id)
+        place = next(r for r in world.hosts.values()).host.job_registry.catalog.get(spec.job_id)
         assert place and place.shard is not None
         hall = world.halls[place.shard if home else 1 - place.shard]
         names = [name for name in world.hosts if name not in (world.owner(0), world.owner(1))]
--- a/tests/host/test_end_beside_recovery.py
+++ b/tests/host/test_end_beside_recovery.py
@@ -8,7 +8,7 @@
 from contextvars import Context
 from typing import Any
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Finished, JobState, Tombstone
 from linkspan.shard.messages import EndKind
@@ -71,7 +71,7 @@
     executor.advance()
     (end,) = executor.ended
     assert end.kind is EndKind.DONE
-    entry = world.hosts[reader].host.book.catalog.get(job_id)
+    entry = world.hosts[reader].host.job_registry.catalog.get(job_id)
     assert entry
     records = [Finished(job_id, JobState.SUCCEEDED, 0, time.time(), world.specs[job_id].queue)]
     for record in (*records, *(Tombstone("s", job_id, host) for host in entry.hosts)):
--- a/tests/host/test_entries_of_other_writers.py
+++ b/tests/host/test_entries_of_other_writers.py
@@ -108,7 +108,7 @@
         first = world.add_executor("east", "east-8:1")
         world.enter_under(b"\xff\xfe", entry(world, first))
         await asyncio.sleep(1.0)
-        known = world.hosts[str(world.owner())].host.registry.executors()
+        known = world.hosts[str(world.owner())].host.executor_registry.executors()
         assert [record.executor_id for record in known] == [first.incarnation_name]
         second = world.add_executor("east", "east-9:1")
         await asyncio.sleep(1.0)
--- a/tests/host/test_first_read.py
+++ b/tests/host/test_first_read.py
@@ -20,7 +20,7 @@
 import asyncio
 import time
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Finished, JobState, Submitted, Tombstone
 from linkspan.jobs.spec import JobSpec
--- a/tests/host/test_hall_world.py
+++ b/tests/host/test_hall_world.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from linkspan.store.types import Entry
--- a/tests/host/test_held_ends_on_record.py
+++ b/tests/host/test_held_ends_on_record.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.shard.recovery.progress import ROSTER_KEY, decode_roster
 from linkspan.store.types import Appended, Partition, Producer, Record
 from tests.hall_world import HallWorld
--- a/tests/host/test_job_book.py
+++ b/tests/host/test_job_book.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from linkspan.jobs.job_book import JOBS, JobBook
+from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Moved, Submitted, Tombstone
 from linkspan.store.types import Page, Partition
@@ -22,11 +22,11 @@
         world = HallWorld()
         store = MemoryStore()
         spec = world.new_job(step(1))
-        book = JobBook(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
-        work = asyncio.create_task(book.follower.run())
+        job_registry = JobRegistry(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
+        work = asyncio.create_task(job_registry.follower.run())
         await asyncio.sleep(0.1)
         heard: list[int | None] = []
-        book.listen(lambda job_id: heard.append(_shard(book, job_id)))
+        job_registry.subscribe(lambda job_id: heard.append(_shard(job_registry, job_id)))
         store.silent.add("host")
         await asyncio.sleep(3.0)
         store.put(JOBS, *encode(Submitted(spec, 0, 0.0, "life-x")))
@@ -57,7 +57,7 @@
         spec = world.new_job(step(1))
         world.store.put(JOBS, *encode(Submitted(spec, 1 - shard, 0.0, "life-x")))
         status = await world.submit(idle, spec)
-        catalog = world.hosts[idle].host.book.catalog
+        catalog = world.hosts[idle].host.job_registry.catalog
         return status, [job_id for job_id, _ in catalog.of_shard(shard) if job_id == spec.job_id]
 
     assert run_virtual(play()) == (200, [])
@@ -81,7 +81,7 @@
         world = HallWorld()
         await world.begin()
         spec = world.new_job(step(1))
-        await world.hosts["east-host-0"].host.book.refresh(fresh_s=0.0)
+        await world.hosts["east-host-0"].host.job_registry.refresh(fresh_s=0.0)
         assert await world.submit("east-host-0", spec) == 200
         return await world.state("east-host-0", spec.job_id)
 
@@ -93,16 +93,16 @@
 
     async def play() -> tuple[bool, bool]:
         store = MemoryStore()
-        book = JobBook(_SlowReads(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
-        writing = asyncio.create_task(book.writer.run())
-        await book.refresh(fresh_s=0.0)
+        job_registry = JobRegistry(_SlowReads(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
+        writing = asyncio.create_task(job_registry.writer.run())
+        await job_registry.refresh(fresh_s=0.0)
         spec = HallWorld().new_job(step(1))
-        reading = asyncio.create_task(book.refresh(fresh_s=0.0))
+        reading = asyncio.create_task(job_registry.refresh(fresh_s=0.0))
         await asyncio.sleep(READ_S / 2)
-        offset = await book.write([Submitted(spec, 0, 0.0, "life-1")])
-        book.note_accepted(spec.job_id, offset)
+        offset = await job_registry.write([Submitted(spec, 0, 0.0, "life-1")])
+        job_registry.note_accepted(spec.job_id, offset)
         assert await reading
-        known = book.knows(spec.job_id), book.catalog.get(spec.job_id) is not None
+        known = job_registry.knows(spec.job_id), job_registry.catalog.get(spec.job_id) is not None
         writing.cancel()
         return known
 
@@ -114,19 +114,19 @@
 
     async def play() -> list[bool]:
         store = MemoryStore()
-        book = JobBook(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
-        writing = asyncio.create_task(book.writer.run())
+        job_registry = JobRegistry(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
+        writing = asyncio.create_task(job_registry.writer.run())
         spec = HallWorld().new_job(step(1))
-        offset = await book.write([Submitted(spec, 0, 0.0, "life-1")])
-        book.note_accepted(spec.job_id, offset)
-        known = [book.knows(spec.job_id)]
-        await book.refresh(fresh_s=0.0)
+        offset = await job_registry.write([Submitted(spec, 0, 0.0, "life-1")])
+        job_registry.note_accepted(spec.job_id, offset)
+        known = [job_registry.knows(spec.job_id)]
+        await job_registry.refresh(fresh_s=0.0)
         store.put(JOBS, *encode(Tombstone("s", spec.job_id, "life-1")))
-        await book.refresh(fresh_s=0.0)
-        known.append(book.knows(spec.job_id))
+        await job_registry.refresh(fresh_s=0.0)
+        known.append(job_registry.knows(spec.job_id))
         # An answer to the write that comes after the record was read back.
-        book.note_accepted(spec.job_id, offset)
-        known.append(book.knows(spec.job_id))
+        job_registry.note_accepted(spec.job_id, offset)
+        known.append(job_registry.knows(spec.job_id))
         writing.cancel()
         return known
 
@@ -144,6 +144,6 @@
         return page
 
 
-def _shard(book: JobBook, job_id: str) -> int | None:
-    entry = book.catalog.get(job_id)
+def _shard(job_registry: JobRegistry, job_id: str) -> int | None:
+    entry = job_registry.catalog.get(job_id)
     return entry.shard if entry else None
--- a/tests/host/test_last_owner_but_one.py
+++ b/tests/host/test_last_owner_but_one.py
@@ -23,7 +23,7 @@
 
 import pytest
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from tests.hall_world import HallWorld
--- a/tests/host/test_late_loans.py
+++ b/tests/host/test_late_loans.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Delegated
 from linkspan.shard.messages import TaskName
@@ -31,7 +31,7 @@
         await world.submit("east-host-0", spec)
         await asyncio.sleep(6.0)
         assert _at_work(world, spec.job_id) == TASKS
-        entry = world.hosts["east-host-0"].host.book.catalog.get(spec.job_id)
+        entry = world.hosts["east-host-0"].host.job_registry.catalog.get(spec.job_id)
         assert entry
         first, *others = entry.delegated[BORROWER]
         world.store.put(JOBS, *encode(Delegated(spec.job_id, BORROWER, (first,))))
--- a/tests/host/test_loans_after_moves.py
+++ b/tests/host/test_loans_after_moves.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import JobRecord, Moved, Submitted
 from linkspan.shard.recovery.progress import RunKey, encode_moved
@@ -95,8 +95,8 @@
 def _answer_moves_late(world: HallWorld, monkeypatch: pytest.MonkeyPatch) -> None:
     owner = world.owner(HOME)
     assert owner
-    book = world.hosts[owner].host.book
-    write = book.write
+    job_registry = world.hosts[owner].host.job_registry
+    write = job_registry.write
 
     def late(records: Sequence[JobRecord], **options: Any) -> asyncio.Future[int]:
         done = write(records, **options)
@@ -107,7 +107,7 @@
         loop.call_later(ANSWER_LATE_S, lambda: answered.set_result(done.result()))
         return answered
 
-    monkeypatch.setattr(book, "write", late)
+    monkeypatch.setattr(job_registry, "write", late)
 
 
 def _running(world: HallWorld, job_id: str) -> int:
--- a/tests/host/test_one_hall.py
+++ b/tests/host/test_one_hall.py
@@ -16,7 +16,7 @@
 import asyncio
 from random import Random
 
-from linkspan.jobs.job_book import JOBS, JobBook
+from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.jobs.records import Submitted
 from linkspan.jobs.spec import JobSpec
 from tests.hall_world import HallWorld
@@ -101,10 +101,10 @@
     """A host of which only the job book is played, and what its front does with it."""
 
     def __init__(self, store: MemoryStore, name: str, life: str) -> None:
-        self.book = JobBook(StoreLink(store, name), life, Lines())  # type: ignore[arg-type]
+        self.job_registry = JobRegistry(StoreLink(store, name), life, Lines())  # type: ignore[arg-type]
         self._life = life
         self._submitting: set[str] = set()
-        loops = (self.book.follower.run(), self.book.writer.run())
+        loops = (self.job_registry.follower.run(), self.job_registry.writer.run())
         self._work = [asyncio.create_task(loop) for loop in loops]
 
     def kill(self) -> None:
@@ -114,18 +114,18 @@
     def submit(self, spec: JobSpec, shard: int) -> asyncio.Future[int] | None:
         """Keep a job as a front does: once, and only if it is not known."""
         job_id = spec.job_id
-        known = job_id in self._submitting or self.book.knows(job_id)
-        if known or not self.book.follower.ready:
+        known = job_id in self._submitting or self.job_registry.knows(job_id)
+        if known or not self.job_registry.follower.ready:
             return None
         self._submitting.add(job_id)
-        write = self.book.write([Submitted(spec, shard, 0.0, self._life)])
+        write = self.job_registry.write([Submitted(spec, shard, 0.0, self._life)])
         write.add_done_callback(lambda done: self._on_written(job_id, done))
         return write
 
     def _on_written(self, job_id: str, done: asyncio.Future[int]) -> None:
         self._submitting.discard(job_id)
         if not done.cancelled() and done.exception() is None:
-            self.book.note_accepted(job_id, done.result())
+            self.job_registry.note_accepted(job_id, done.result())
 
 
 class _Readers:
@@ -150,4 +150,4 @@
         return self.hosts[name]
 
     def compare(self) -> list[str]:
-        return self._judge.compare((name, host.book) for name, host in self.hosts.items())
+        return self._judge.compare((name, host.job_registry) for name, host in self.hosts.items())
--- a/tests/host/test_ownership_reads.py
+++ b/tests/host/test_ownership_reads.py
@@ -155,7 +155,7 @@
             world.register(executor)
         await asyncio.sleep(6.0)
         assert counted[former, EXECUTORS.topic] == 0
-        assert world.hosts[former].host.registry.executors() == []
+        assert world.hosts[former].host.executor_registry.executors() == []
         return world
 
     assert run_virtual(play()).problems == []
@@ -170,17 +170,17 @@
         world = HallWorld(hosts_per_hall=1)
         await world.begin()
         (name,) = world.hosts
-        registry = world.hosts[name].host.registry
-        registry.pause()
-        await registry.follower.sync()
+        executor_registry = world.hosts[name].host.executor_registry
+        executor_registry.pause()
+        await executor_registry.follower.sync()
         for _ in range(200):
             for executor in world.executors.values():
                 world.register(executor)
         await asyncio.sleep(1.0)
         counted.clear()
-        registry.resume()
+        executor_registry.resume()
         await asyncio.sleep(1.0)
-        assert len(registry.executors()) == len(world.executors)
+        assert len(executor_registry.executors()) == len(world.executors)
         assert counted[name, EXECUTORS.topic] <= len(world.executors)
         return world
 
--- a/tests/host/test_partial_reports.py
+++ b/tests/host/test_partial_reports.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from tests.hall_world import HallWorld
 from tests.job_builders import step
 from tests.part_world import PartWorld
--- a/tests/host/test_planned_stop.py
+++ b/tests/host/test_planned_stop.py
@@ -17,7 +17,7 @@
 
 from linkspan.host.host import DRAIN_TICK_S
 from linkspan.host.listener import Listener
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from tests.hall_world import HallWorld
 from tests.job_builders import QUEUE, step
 from tests.virtual_time import run_virtual
--- a/tests/host/test_reasons_told.py
+++ b/tests/host/test_reasons_told.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from tests.hall_world import HallWorld
--- a/tests/host/test_removals_sent_again.py
+++ b/tests/host/test_removals_sent_again.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from linkspan.jobs.job_book import JOBS, JobBook
+from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.jobs.records import Finished, JobState, Submitted, Tombstone
 from linkspan.jobs.spec import JobSpec
 from tests.hall_world import HallWorld
@@ -21,10 +21,13 @@
 
     async def play() -> list[bytes]:
         store = MemoryStore()
-        book = JobBook(StoreLink(store, "host"), HOST, Lines())  # type: ignore[arg-type]
-        loops = [asyncio.create_task(loop) for loop in (book.follower.run(), book.writer.run())]
-        spec, end = await _submitted(book)
-        await _write_twice(store, book, [end, Tombstone("s", spec.job_id, HOST)])
+        job_registry = JobRegistry(StoreLink(store, "host"), HOST, Lines())  # type: ignore[arg-type]
+        loops = [
+            asyncio.create_task(loop)
+            for loop in (job_registry.follower.run(), job_registry.writer.run())
+        ]
+        spec, end = await _submitted(job_registry)
+        await _write_twice(store, job_registry, [end, Tombstone("s", spec.job_id, HOST)])
         kept = [entry.key for entry in (await StoreLink(store, "host").newest(JOBS)).entries]
         for loop in loops:
             loop.cancel()
@@ -39,14 +42,17 @@
 
     async def play() -> bool:
         store = MemoryStore()
-        book = JobBook(StoreLink(store, "host"), HOST, Lines())  # type: ignore[arg-type]
-        loops = [asyncio.create_task(loop) for loop in (book.follower.run(), book.writer.run())]
-        spec, end = await _submitted(book)
+        job_registry = JobRegistry(StoreLink(store, "host"), HOST, Lines())  # type: ignore[arg-type]
+        loops = [
+            asyncio.create_task(loop)
+            for loop in (job_registry.follower.run(), job_registry.writer.run())
+        ]
+        spec, end = await _submitted(job_registry)
         submission = Tombstone("s", spec.job_id, HOST)
-        await _write_twice(store, book, [end, submission])
-        await _write_twice(store, book, [submission, Tombstone("f", spec.job_id)])
+        await _write_twice(store, job_registry, [end, submission])
+        await _write_twice(store, job_registry, [submission, Tombstone("f", spec.job_id)])
         store.forget(JOBS)
-        late = JobBook(StoreLink(store, "late"), "life-2", Lines())  # type: ignore[arg-type]
+        late = JobRegistry(StoreLink(store, "late"), "life-2", Lines())  # type: ignore[arg-type]
         loops.append(asyncio.create_task(late.follower.run()))
         await asyncio.sleep(1.0)
         assert late.follower.ready
@@ -57,19 +63,19 @@
     assert not run_virtual(play())
 
 
-async def _submitted(book: JobBook) -> tuple[JobSpec, Finished]:
+async def _submitted(job_registry: JobRegistry) -> tuple[JobSpec, Finished]:
     """Write a submission; return the job and the record of its end."""
     spec = HallWorld().new_job(step(1))
-    await book.write([Submitted(spec, 0, 0.0, HOST)])
+    await job_registry.write([Submitted(spec, 0, 0.0, HOST)])
     return spec, Finished(spec.job_id, JobState.SUCCEEDED, 0, 0.0, spec.queue)
 
 
 async def _write_twice(
-    store: MemoryStore, book: JobBook, records: list[Finished | Tombstone]
+    store: MemoryStore, job_registry: JobRegistry, records: list[Finished | Tombstone]
 ) -> None:
     """Write records whose first sending is not done and gets no answer."""
     store.silent.add("host")
-    written = book.write(records)
+    written = job_registry.write(records)
     await asyncio.sleep(0.5)
     store.silent.clear()
     await written
--- a/tests/host/test_shared_learning.py
+++ b/tests/host/test_shared_learning.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from linkspan.shard.colocation.colocation import PRIOR_EFFECT
+from linkspan.shard.colocation.interference import PRIOR_EFFECT
 from linkspan.shard.handover.summary import HallSummary, PairEffect
 from tests.hall_world import HallWorld
 from tests.virtual_time import run_virtual
@@ -17,7 +17,7 @@
     assert name
     tenure = world.hosts[name].host.candidates[shard].tenure
     assert tenure
-    return tenure.core.colocation.effect(LEARNT.standing, LEARNT.image)
+    return tenure.core.interference.effect(LEARNT.standing, LEARNT.image)
 
 
 def learn(world: HallWorld, shard: int) -> None:
@@ -26,7 +26,7 @@
     tenure = world.hosts[name].host.candidates[shard].tenure
     assert tenure
     now = asyncio.get_running_loop().time()
-    tenure.core.colocation.adopt(HallSummary(effects=(LEARNT,)).effects, now)
+    tenure.core.interference.adopt(HallSummary(effects=(LEARNT,)).effects, now)
 
 
 def test_what_one_owner_learnt_reaches_the_owners_of_other_halls() -> None:
--- a/tests/host/test_slow_first_reads.py
+++ b/tests/host/test_slow_first_reads.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from tests.hall_executors import EXECUTORS
 from tests.hall_world import CONFIGURATION, HallWorld
 from tests.job_builders import step
--- a/tests/host/test_takeovers.py
+++ b/tests/host/test_takeovers.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from linkspan.shard.messages import StartOrder, TaskName
@@ -128,7 +128,7 @@
         world.store.put(JOBS, *encode(record))
         world.store.put(marker, RunKey(spec.job_id, 0).encode(), encode_moved(1))
         started = world.start_host("east-host-0")
-        started.host.book.writer.write = lambda *_a, **_k: asyncio.Future()  # type: ignore[method-assign]
+        started.host.job_registry.writer.write = lambda *_a, **_k: asyncio.Future()  # type: ignore[method-assign]
         candidate = started.host.candidates[0]
         while candidate.tenure is None or not candidate.tenure.core.executors:
             await asyncio.sleep(0.001)
--- a/tests/host/test_trace_of_two_starts.py
+++ b/tests/host/test_trace_of_two_starts.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Moved
 from linkspan.trace import repeated_starts, trace
--- a/tests/host/test_unread_jobs.py
+++ b/tests/host/test_unread_jobs.py
@@ -17,7 +17,7 @@
 import pytest
 
 from linkspan.errors import InvalidInput
-from linkspan.jobs import job_book
+from linkspan.jobs import job_registry
 from tests.hall_world import HallWorld
 from tests.job_builders import step
 from tests.virtual_time import HOST, run_virtual
@@ -33,7 +33,7 @@
 def test_a_job_that_one_owner_could_not_read_does_not_begin_anew(
     monkeypatch: pytest.MonkeyPatch, reads: bool
 ) -> None:
-    check = job_book.check_job
+    check = job_registry.check_job
     unread: set[str] = set()
 
     def check_here(spec: object) -> None:
@@ -41,7 +41,7 @@
             raise InvalidInput("steps", "a later form", "pass it over")
         check(spec)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(job_book, "check_job", check_here)
+    monkeypatch.setattr(job_registry, "check_job", check_here)
 
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
--- a/tests/host/wide_day.py
+++ b/tests/host/wide_day.py
@@ -5,7 +5,7 @@
 import asyncio
 from contextlib import suppress
 
-from linkspan.jobs.job_book import JOBS
+from linkspan.jobs.job_registry import JOBS
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Submitted
 from linkspan.jobs.spec import JobSpec
--- a/tests/one_hall.py
+++ b/tests/one_hall.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from linkspan.jobs.catalog import JobCatalog
-from linkspan.jobs.job_book import JOBS, JobBook
+from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.jobs.record_codec import decode
 from linkspan.store.types import Entry
 
@@ -44,7 +44,7 @@
         halls = {other.record.hall for other in others if other.alive}
         return [f"ELSEWHERE {order.task} begins at run 1 again"] if len(halls) > 1 else []
 
-    def compare(self, books: Iterable[tuple[str, JobBook]]) -> list[str]:
+    def compare(self, books: Iterable[tuple[str, JobRegistry]]) -> list[str]:
         """Return the jobs on whose hall two readers differ, each of them once.
 
         Compared are a reader of all records in order, one that lists the newest of each
--- a/tests/shard/test_advice.py
+++ b/tests/shard/test_advice.py
@@ -6,7 +6,7 @@
 
 from linkspan.errors import Unreachable
 from linkspan.model.configuration import AdviceRule, Configuration, Queue, Service
-from linkspan.shard.planning.advice import RETRY_S, Advice, AdviceBook
+from linkspan.shard.planning.advice import RETRY_S, Advice, AdviceCache
 from linkspan.shard.step_run import StepRun
 from tests.hall_world import HallWorld
 from tests.job_builders import QUEUE, step
@@ -16,53 +16,53 @@
 VALID_S = 3.0
 
 
-def advised(*, executors: int = 2) -> tuple[AdviceBook, StepRun]:
+def advised(*, executors: int = 2) -> tuple[AdviceCache, StepRun]:
     """Return the advice of a core with one job of one task, and its step."""
     core = core_with(step(1), executors=executors)
     return core.advice, core.jobs[JOB].runs[0].steps[0]
 
 
 def test_an_executor_that_was_refused_is_not_asked_for_again() -> None:
-    book, run = advised()
-    book.want(run, ["e0", "e1"], 0.0)
-    call = book.next_call(0.0)
+    advice, run = advised()
+    advice.want(run, ["e0", "e1"], 0.0)
+    call = advice.next_call(0.0)
     assert call and call.executor_ids == ("e0", "e1")
-    book.on_advice(call, Advice({"e1": "t"}, VALID_S), asked=0.0, valid_s=0.0)
-    assert book.ticket(run, "e1", 1.0) == "t"
-    book.want(run, ["e0", "e1"], 1.0)
-    assert book.next_call(1.0) is None
+    advice.on_advice(call, Advice({"e1": "t"}, VALID_S), asked=0.0, valid_s=0.0)
+    assert advice.ticket(run, "e1", 1.0) == "t"
+    advice.want(run, ["e0", "e1"], 1.0)
+    assert advice.next_call(1.0) is None
 
 
 def test_a_ticket_is_asked_for_again_before_it_ends() -> None:
-    book, run = advised()
-    book.want(run, ["e0"], 0.0)
-    call = book.next_call(0.0)
+    advice, run = advised()
+    advice.want(run, ["e0"], 0.0)
+    call = advice.next_call(0.0)
     assert call
-    book.on_advice(call, Advice({"e0": "t"}, 0.0), asked=0.0, valid_s=VALID_S)
-    assert book.ticket(run, "e0", VALID_S) is None
-    book.want(run, ["e0"], VALID_S)
-    assert book.next_call(VALID_S) == call
+    advice.on_advice(call, Advice({"e0": "t"}, 0.0), asked=0.0, valid_s=VALID_S)
+    assert advice.ticket(run, "e0", VALID_S) is None
+    advice.want(run, ["e0"], VALID_S)
+    assert advice.next_call(VALID_S) == call
 
 
 def test_a_call_that_failed_is_made_again_after_a_pause() -> None:
-    book, run = advised()
-    book.want(run, ["e0"], 0.0)
-    call = book.next_call(0.0)
+    advice, run = advised()
+    advice.want(run, ["e0"], 0.0)
+    call = advice.next_call(0.0)
     assert call
-    book.on_failed(call, 0.0)
-    assert book.next_call(0.0) is None
-    assert book.next_call(RETRY_S) == call
+    advice.on_failed(call, 0.0)
+    assert advice.next_call(0.0) is None
+    assert advice.next_call(RETRY_S) == call
 
 
 def test_a_call_that_fails_does_not_hold_up_other_steps() -> None:
     core = core_with(step(1), step(1))
-    book, (first, second) = core.advice, core.jobs[JOB].runs[0].steps
-    book.want(first, ["e0"], 0.0)
-    book.want(second, ["e0"], 0.0)
-    call = book.next_call(0.0)
+    advice, (first, second) = core.advice, core.jobs[JOB].runs[0].steps
+    advice.want(first, ["e0"], 0.0)
+    advice.want(second, ["e0"], 0.0)
+    call = advice.next_call(0.0)
     assert call and call.step is first
-    book.on_failed(call, 0.0)
-    call = book.next_call(RETRY_S)
+    advice.on_failed(call, 0.0)
+    call = advice.next_call(RETRY_S)
     assert call and call.step is second
 
 
--- a/tests/shard/test_colocation.py
+++ b/tests/shard/test_colocation.py
@@ -9,8 +9,8 @@
 from linkspan.jobs.records import Submitted
 from linkspan.jobs.spec import JobSpec
 from linkspan.shard.attempt import Attempt, Phase
-from linkspan.shard.colocation._news import EffectNews
-from linkspan.shard.colocation.colocation import UNLOADED, ColocationBook, pressure_of
+from linkspan.shard.colocation._effect_selector import EffectSelector
+from linkspan.shard.colocation.interference import UNLOADED, InterferenceEstimator, pressure_of
 from linkspan.shard.colocation.pacing import STAND_STILL_AFTER_S, Pacer
 from linkspan.shard.core import ShardCore
 from linkspan.shard.handover.summary import HallSummary, PairEffect
@@ -33,16 +33,16 @@
     serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
     bad = place(core, executor, best_effort=True, image="bad", cpu=3_000)
     good = place(core, executor, best_effort=True, image="good", cpu=3_000)
-    book = ColocationBook()
+    interference = InterferenceEstimator()
     for second in range(120):
         bad.usage = random.choice((0.0, 3_000.0))
         good.usage = random.choice((0.0, 3_000.0))
         scale = 32_000 / executor.record.capacity.milli_cpu
         load = 0.4 + random.uniform(-0.1, 0.1)
         figures(serving, load + 0.03 * scale * (bad.usage or 0.0) / 1_000)
-        book.learn(executor, second * 0.5)
-    assert book.effect("s", "bad") > 0.02
-    assert book.effect("s", "good") < 0.01
+        interference.learn(executor, second * 0.5)
+    assert interference.effect("s", "bad") > 0.02
+    assert interference.effect("s", "good") < 0.01
 
 
 def test_pressure_rises_with_latency() -> None:
@@ -61,7 +61,7 @@
     core, serving, neighbour = _serving_beside_a_neighbour()
     executor = core.executors["e0"]
     neighbour.usage = 3_000.0
-    pacer = Pacer(core, core.colocation)
+    pacer = Pacer(core, core.interference)
     now = 0.0
     while now <= STAND_STILL_AFTER_S + 0.6:
         serving.usage = 30.0
@@ -75,7 +75,7 @@
     executor = core.executors["e0"]
     neighbour.pace = 0
     neighbour.usage = 0.0
-    pacer = Pacer(core, core.colocation)
+    pacer = Pacer(core, core.interference)
     for tick in range(20):
         figures(serving, 0.2)
         pacer.on_report(executor, tick * 0.6, 0.0)
@@ -92,22 +92,22 @@
         task.attempts.append(attempt)
         executor.add(attempt)
         attempts.append(attempt)
-    book = ColocationBook()
+    interference = InterferenceEstimator()
     for tick in range(12):
         figures(attempts[0], 0.7)
-        book.learn(core.executors["e0"], tick * 0.5)
-    assert book.load(attempts[1], 6.0) == pytest.approx(0.7, abs=0.05)
+        interference.learn(core.executors["e0"], tick * 0.5)
+    assert interference.load(attempts[1], 6.0) == pytest.approx(0.7, abs=0.05)
 
 
 def test_a_rising_load_is_foreseen() -> None:
     core = core_with(step(1), executors=1)
     serving = place(core, core.executors["e0"], standing=True, image="s", latency_target_ms=10.0)
-    book = ColocationBook()
+    interference = InterferenceEstimator()
     for tick in range(1, 9):
         figures(serving, 0.3 + 0.06 * tick)
-        book.learn(core.executors["e0"], tick * 0.5)
+        interference.learn(core.executors["e0"], tick * 0.5)
     # Seen last: 0.78 at 4.0 s, over the half second before it.
-    assert book.load(serving, 4.0) > 0.8
+    assert interference.load(serving, 4.0) > 0.8
 
 
 def test_the_most_urgent_neighbour_keeps_its_pace() -> None:
@@ -119,7 +119,7 @@
     )
     urgent.task.step.run.job.objective_s = 100.0
     hopeless.task.step.run.job.objective_s = 0.1
-    pacer = Pacer(core, core.colocation)
+    pacer = Pacer(core, core.interference)
     for tick in range(30):
         for neighbour in (urgent, hopeless):
             neighbour.usage = 3_000.0 * neighbour.pace / 100
@@ -137,7 +137,7 @@
     row = RunningTask(name, 1, "", 40, 0.0)
     core.on_report("e0", ExecutorReport(1.0, (row,), ()), asked=0.5, now=1.0)
     core.orders.clear()
-    Pacer(core, core.colocation).on_report(core.executors["e0"], 1.0, 1.0)
+    Pacer(core, core.interference).on_report(core.executors["e0"], 1.0, 1.0)
     assert core.orders == [PaceOrder("e0", name, 1, 100)]
 
 
@@ -149,7 +149,7 @@
     (serving,) = executor.standing()
     for tick in range(12):
         figures(serving, 0.74)
-        core.colocation.learn(executor, tick * 0.5)
+        core.interference.learn(executor, tick * 0.5)
     neighbour = step(1, best_effort=True, image="b", cpu=6_000)
     spec = JobSpec("00000000000000bb", QUEUE.name, "text", (neighbour,))
     core.add_job(Submitted(spec, 0, 0.0, "host"), 0.0)
@@ -173,13 +173,13 @@
     serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
     beside = place(core, executor, best_effort=True, image="b", cpu=3_000)
     beside.usage = 3_000.0
-    book = ColocationBook()
-    news = EffectNews()
-    news.take(book.effects())
+    interference = InterferenceEstimator()
+    news = EffectSelector()
+    news.select(interference.effects())
     for tick in range(20):
-        book.adopt([PairEffect("s", "b", 0.05, 0.0)], 0.1 + 0.5 * tick)
+        interference.adopt([PairEffect("s", "b", 0.05, 0.0)], 0.1 + 0.5 * tick)
         figures(serving, 0.5)
-        book.learn(executor, 0.1 + 0.5 * tick)
-        assert all(effect.variance >= 0.0 for effect in book.effects())
-        told = HallSummary(effects=news.take(book.effects()))
+        interference.learn(executor, 0.1 + 0.5 * tick)
+        assert all(effect.variance >= 0.0 for effect in interference.effects())
+        told = HallSummary(effects=news.select(interference.effects()))
         assert len(HallSummary.decode(told.encode()).effects) == 1
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -8,7 +8,7 @@
 from linkspan.jobs.spec import Demand, JobSpec, StepSpec
 from linkspan.model.configuration import Configuration, Queue, Service
 from linkspan.model.settings import Bounds
-from linkspan.shard._books import MOST_STARTS
+from linkspan.shard._shard_state import MOST_STARTS
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.core import ShardCore
 from linkspan.shard.executor import MOST_HELD_ENDS, UnackedEnd
@@ -278,7 +278,7 @@
 def test_best_effort_work_is_not_starved_by_pressure() -> None:
     core = _core_that_serves_in(latency_ms=9.9)
     for second in range(20):
-        core.colocation.learn(core.executors["e0"], 1.0 + second)
+        core.interference.learn(core.executors["e0"], 1.0 + second)
     spec = JobSpec("00000000000000bb", QUEUE.name, "text", (best_effort_step(),))
     core.add_job(Submitted(spec, 0, 20.0, "host"), 20.0)
     assert plan(core, 20.1) == []
@@ -287,7 +287,7 @@
 
 def test_best_effort_work_keeps_off_executors_with_a_disturbed_task() -> None:
     core = _core_that_serves_in(latency_ms=11.0)
-    Pacer(core, core.colocation).on_report(core.executors["e0"], 1.0, 1.0)
+    Pacer(core, core.interference).on_report(core.executors["e0"], 1.0, 1.0)
     spec = JobSpec("00000000000000bb", QUEUE.name, "text", (best_effort_step(),))
     core.add_job(Submitted(spec, 0, 1.0, "host"), 1.0)
     assert plan(core, 1.1) == []
--- a/tests/shard/test_effect_news.py
+++ b/tests/shard/test_effect_news.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from linkspan.shard.colocation._news import TOLD_AS_CHANGED, TOLD_IN_TURN, EffectNews
+from linkspan.shard.colocation._effect_selector import TOLD_AS_CHANGED, TOLD_IN_TURN, EffectSelector
 from linkspan.shard.handover.summary import HallSummary, PairEffect
 from linkspan.shard.ownership.ownership import MOST_EFFECTS, OwnerAct, OwnerRecord, OwnerView
 from linkspan.store.types import Entry
@@ -33,42 +33,42 @@
 
 
 def test_news_of_all_pairs_of_a_large_hall_stay_short() -> None:
-    news = EffectNews()
+    news = EffectSelector()
     known = pairs(STANDING * IMAGES)
     for _ in range(60):
-        told = HallSummary(effects=news.take(known)).encode()
+        told = HallSummary(effects=news.select(known)).encode()
         bare = HallSummary().encode()
         assert len(str(told)) - len(str(bare)) <= MOST_BYTES
 
 
 def test_each_pair_is_told_in_its_turn() -> None:
-    news = EffectNews()
+    news = EffectSelector()
     known = pairs(300)
     rounds = -(-len(known) // TOLD_IN_TURN)
-    told = {(e.standing, e.image) for _ in range(rounds) for e in news.take(known)}
+    told = {(e.standing, e.image) for _ in range(rounds) for e in news.select(known)}
     assert len(told) == len(known)
-    again = {(e.standing, e.image) for _ in range(rounds) for e in news.take(known)}
+    again = {(e.standing, e.image) for _ in range(rounds) for e in news.select(known)}
     assert again == told
 
 
 def test_what_changed_most_is_told_at_once() -> None:
-    news = EffectNews()
+    news = EffectSelector()
     known = pairs(300)
     for _ in range(40):
-        news.take(known)
+        news.select(known)
     changed = known[250:255]
     known[250:255] = [effect._replace(mean=effect.mean + 0.1) for effect in changed]
-    told = {(e.standing, e.image): e for e in news.take(known)}
+    told = {(e.standing, e.image): e for e in news.select(known)}
     assert [told[e.standing, e.image].mean for e in changed] == [e.mean + 0.1 for e in changed]
     assert len(told) <= TOLD_IN_TURN + TOLD_AS_CHANGED
 
 
 def test_a_pair_that_is_known_no_more_is_not_told() -> None:
-    news = EffectNews()
+    news = EffectSelector()
     known = pairs(5)
-    assert len(news.take(known)) == 5
-    assert set(news.take(known[:2])) == set(known[:2])
-    assert news.take([]) == ()
+    assert len(news.select(known)) == 5
+    assert set(news.select(known[:2])) == set(known[:2])
+    assert news.select([]) == ()
 
 
 def test_a_host_adds_up_what_it_is_told() -> None:
--- a/tests/shard/test_lengths.py
+++ b/tests/shard/test_lengths.py
@@ -11,9 +11,9 @@
 from linkspan.jobs.spec import JobSpec
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.messages import EndedTask, EndKind
-from linkspan.shard.planning._outlook import refresh_outlook
-from linkspan.shard.planning.lengths import LengthBook
-from linkspan.shard.planning.urgency import Hope, urgency
+from linkspan.shard.planning._expected_durations import update_expected_durations
+from linkspan.shard.planning.durations import DurationEstimator
+from linkspan.shard.planning.urgency import Timeliness, urgency
 from tests.job_builders import QUEUE, step
 from tests.shard.builders import JOB, core_with, place, plan, report, started, submitted
 
@@ -23,22 +23,22 @@
 
 def test_bad_guesses_are_pulled_to_what_was_seen() -> None:
     random = Random(1)
-    book = LengthBook()
+    durations = DurationEstimator()
     for _ in range(200):
         length = exp(random.gauss(log(2.0), 0.5))
-        book.learn("batch", length * exp(random.gauss(-0.4, 0.9)), length)
-    assert 1.0 < book.expected_s("batch", 0.2) < 2.0
-    assert 2.0 < book.expected_s("batch", 10.0) < 5.0
+        durations.learn("batch", length * exp(random.gauss(-0.4, 0.9)), length)
+    assert 1.0 < durations.expected_s("batch", 0.2) < 2.0
+    assert 2.0 < durations.expected_s("batch", 10.0) < 5.0
 
 
 def test_good_guesses_are_kept() -> None:
     random = Random(2)
-    book = LengthBook()
+    durations = DurationEstimator()
     for _ in range(200):
         length = exp(random.gauss(0.0, 1.0))
-        book.learn("batch", length, length * exp(random.gauss(0.0, 0.05)))
+        durations.learn("batch", length, length * exp(random.gauss(0.0, 0.05)))
     for guess_s in (0.2, 1.0, 5.0):
-        assert abs(book.expected_s("batch", guess_s) / guess_s - 1.0) < 0.1
+        assert abs(durations.expected_s("batch", guess_s) / guess_s - 1.0) < 0.1
 
 
 @given(
@@ -48,19 +48,19 @@
 def test_what_is_expected_is_always_a_sane_time(
     seen: list[tuple[float, float]], guess_s: float
 ) -> None:
-    book = LengthBook()
+    durations = DurationEstimator()
     for guess, took in seen:
-        book.learn("batch", guess, took)
+        durations.learn("batch", guess, took)
     if seen:
-        assert 0.0 < book.expected_s("batch", guess_s) <= 1e8 * 1.001
-    assert book.expected_s("other", 3.0) == 3.0
+        assert 0.0 < durations.expected_s("batch", guess_s) <= 1e8 * 1.001
+    assert durations.expected_s("other", 3.0) == 3.0
 
 
 def test_chains_follow_the_lengths_given() -> None:
     steps = (step(1), step(1), step(1, depends_on=(0, 1)))
     spec = JobSpec(JOB, QUEUE.name, "text", steps)
-    assert spec.chains([1.0, 4.0, 2.0]) == (1.0, 4.0, 6.0)
-    assert spec.after([1.0, 4.0, 2.0]) == (3.0, 6.0, 2.0)
+    assert spec.longest_paths_to([1.0, 4.0, 2.0]) == (1.0, 4.0, 6.0)
+    assert spec.longest_paths_from([1.0, 4.0, 2.0]) == (3.0, 6.0, 2.0)
 
 
 def test_a_job_that_was_guessed_too_short_is_not_given_up() -> None:
@@ -68,11 +68,11 @@
     core = core_with(step(1, estimate_s=1.0))
     waiting = core.jobs[JOB].runs[0].steps[0]
     late = QUEUE.target_s + 0.5
-    assert urgency(waiting, late).hope is not Hope.IN_TIME
+    assert urgency(waiting, late).timeliness is not Timeliness.IN_TIME
     for _ in range(50):
-        core.lengths.learn(QUEUE.name, 1.0, 5.0)
-    refresh_outlook(core.jobs[JOB], core.lengths)
-    assert urgency(waiting, late).hope is Hope.IN_TIME
+        core.durations.learn(QUEUE.name, 1.0, 5.0)
+    update_expected_durations(core.jobs[JOB], core.durations)
+    assert urgency(waiting, late).timeliness is Timeliness.IN_TIME
 
 
 def test_ended_steps_teach_and_count_with_their_own_length() -> None:
@@ -82,9 +82,9 @@
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
     report(core, order.executor_id, end, asked=4.0, now=4.1)
     job = core.jobs[JOB]
-    assert core.lengths.learnt == 1
-    assert round(job.step_took_s[0], 3) == 4.0
-    assert job.after_s[1] > 1.0, "the other step is expected to take longer, too"
+    assert core.durations.learnt == 1
+    assert round(job.measured_durations_s[0], 3) == 4.0
+    assert job.remaining_path_s[1] > 1.0, "the other step is expected to take longer, too"
     assert job.objective_s > QUEUE.stretch * 5.0
 
 
@@ -104,7 +104,7 @@
     core = core_with(step(9, cpu=8_000), executors=0)
     core.add_job(submitted(step(1), job_id=OTHER, accepted=5.0), 5.0)
     old, young = (core.jobs[name].runs[0].steps[0] for name in (JOB, OTHER))
-    assert urgency(young, 60.0).hope is Hope.NONE
+    assert urgency(young, 60.0).timeliness is Timeliness.NONE
     assert urgency(old, 60.0) < urgency(young, 60.0)
 
 
@@ -115,14 +115,14 @@
     started(core, order, 0.1)
     executor = core.executors["e0"]
     serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
-    pacer = Pacer(core, core.colocation)
+    pacer = Pacer(core, core.interference)
     for tick in range(1, 19):
         # It is over its target, so that the run beside it must stand still after 2.4 s.
         serving.usage = 100.0
         pacer.on_report(executor, 0.5 * tick, 0.5 * tick)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
     report(core, order.executor_id, end, asked=9.0, now=9.1)
-    assert core.jobs[JOB].step_took_s[0] < 3.0
+    assert core.jobs[JOB].measured_durations_s[0] < 3.0
 
 
 def test_a_step_that_is_nearly_done_is_not_given_up() -> None:
@@ -132,9 +132,9 @@
     started(core, order, 0.2)
     running = core.jobs[JOB].runs[0].steps[0]
     late = core.jobs[JOB].objective_s - 0.5
-    assert urgency(running, late).hope is not Hope.IN_TIME
+    assert urgency(running, late).timeliness is not Timeliness.IN_TIME
     running.tasks[0].attempts[0].progress = 95
-    assert urgency(running, late).hope is Hope.IN_TIME
+    assert urgency(running, late).timeliness is Timeliness.IN_TIME
 
 
 def test_what_is_nearly_done_goes_before_less_work_that_is_not_begun() -> None:
--- a/tests/store/test_first_read.py
+++ b/tests/store/test_first_read.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from linkspan.events import EventLog
-from linkspan.jobs.job_book import JobBook
+from linkspan.jobs.job_registry import JobRegistry
 from linkspan.platform.store import StoreClient
 from linkspan.store.follower import Follower
 from linkspan.store.types import Entry, Partition
@@ -28,13 +28,15 @@
 
 
 @asynccontextmanager
-async def _slow(server: StoreServer, bytes_per_s: float) -> AsyncIterator[tuple[JobBook, SlowLink]]:
+async def _slow(
+    server: StoreServer, bytes_per_s: float
+) -> AsyncIterator[tuple[JobRegistry, SlowLink]]:
     """Give the job book of a host behind a slow link, not yet at work."""
     async with serving(server.handle) as target, aiohttp.ClientSession() as session:
         link = SlowLink(target, bytes_per_s)
         async with link.serve() as address:
             client = StoreClient(session, address, timeout_s=SILENCE_S)
-            yield JobBook(client, "life", EventLog("test")), link
+            yield JobRegistry(client, "life", EventLog("test")), link
 
 
 async def _until(done: Callable[[], bool]) -> None:
@@ -47,12 +49,12 @@
     """It was given up and asked for anew for ever: the host never knew a job."""
     server = StoreServer(page_keys=500)
     (*_, job_id) = fill_jobs(server.store, live=100)
-    async with _slow(server, 200_000.0) as (book, link):
-        work = asyncio.create_task(book.follower.run())
+    async with _slow(server, 200_000.0) as (job_registry, link):
+        work = asyncio.create_task(job_registry.follower.run())
         began = time.monotonic()
-        await _until(lambda: book.follower.ready)
+        await _until(lambda: job_registry.follower.ready)
         assert time.monotonic() - began > SILENCE_S, "the page is to take longer than that"
-        entry, fresh = await book.look_up(job_id)
+        entry, fresh = await job_registry.look_up(job_id)
         work.cancel()
     assert entry and fresh
     assert link.passed < 350_000, "no byte is read twice"
@@ -113,16 +115,16 @@
     """Each try began with the first page, so that a long listing was never whole."""
     server = StoreServer(page_keys=20)
     job_ids = fill_jobs(server.store, live=100)
-    async with _slow(server, 1_000_000.0) as (book, link):
+    async with _slow(server, 1_000_000.0) as (job_registry, link):
         for broken_at in (60_000, 110_000, 160_000):
             link.reset_at(broken_at)
-        work = asyncio.create_task(book.follower.run())
-        await _until(lambda: book.follower.ready)
+        work = asyncio.create_task(job_registry.follower.run())
+        await _until(lambda: job_registry.follower.ready)
         work.cancel()
     pages = [query for name, query in server.asked if name == "log-newest"]
     assert [query for query in pages if "dependsOn" not in query] == pages[:1]
     assert len(pages) == 2 * len(job_ids) / 20 + 3, "only pages that broke off are asked twice"
-    assert all(book.catalog.get(job_id) for job_id in job_ids)
+    assert all(job_registry.catalog.get(job_id) for job_id in job_ids)
 
 
 class _ChangedBetweenPages(StoreServer):
