--- a/src/linkspan/host/candidate.py
+++ b/src/linkspan/host/candidate.py
@@ -130,9 +130,9 @@
         return self._view
 
     @property
-    def heard_at(self) -> float:
+    def last_response_at(self) -> float:
         """Steady time at which the store last answered."""
-        return self._follower.heard_at
+        return self._follower.last_response_at
 
     def enable(self) -> None:
         """Allow claims: this host knows the configuration and the jobs."""
--- a/src/linkspan/host/host.py
+++ b/src/linkspan/host/host.py
@@ -174,7 +174,11 @@
     def ready(self) -> bool:
         """Whether callers are served best here."""
         home = self.candidates[self._settings.shard]
-        return not self._draining and self.knows_all and steady() - home.heard_at < STORE_LOST_S
+        return (
+            not self._draining
+            and self.knows_all
+            and steady() - home.last_response_at < STORE_LOST_S
+        )
 
     async def run(self) -> None:
         """Run until cancelled.
--- a/src/linkspan/host/sizes.py
+++ b/src/linkspan/host/sizes.py
@@ -35,7 +35,7 @@
         self._untold.discard(shard)
         for kind in summary.kinds:
             self._note(kind.service, kind.capacity)
-        for service, size in summary.larger:
+        for service, size in summary.former_capacities:
             self._note(service, size)
 
     def _note(self, service: str, size: Demand) -> None:
--- a/src/linkspan/jobs/job_registry.py
+++ b/src/linkspan/jobs/job_registry.py
@@ -76,7 +76,7 @@
     @property
     def takes_writes(self) -> bool:
         """Whether the store took the last record, or has answered since it did not."""
-        return self.writer.healthy or self.follower.heard_at > self.writer.failed_at
+        return self.writer.healthy or self.follower.last_response_at > self.writer.failed_at
 
     def subscribe(self, listener: Callable[[str], None]) -> Callable[[], None]:
         """Call a listener with the id of each job that changes; return the way to end it."""
--- a/src/linkspan/platform/executors.py
+++ b/src/linkspan/platform/executors.py
@@ -195,7 +195,7 @@
             clock_s=number(fields["clockMs"]) / 1000,
             running=tuple(_running(rows(row)) for row in rows(fields.get("running"))),
             ended=tuple(_ended(rows(row)) for row in ended),
-            whole=len(ended) < ENDS_LISTED,
+            is_complete=len(ended) < ENDS_LISTED,
             started_at_ms=parse_started_at_ms(fields.get("born")),
         )
     except (KeyError, TypeError, ValueError, IndexError) as error:
--- a/src/linkspan/shard/_changes.py
+++ b/src/linkspan/shard/_changes.py
@@ -22,7 +22,7 @@
         advice: Set when tickets may be asked for.
         finish: Set when final records are to be written.
         roster: Ids of the executors that the durable roster names.
-        holds: How many ends had been held back when it was written.
+        withheld_count: How many ends had been held back when it was written.
     """
 
     def __init__(self, core: ShardCore) -> None:
@@ -33,7 +33,7 @@
         self.finish = asyncio.Event()
         self.advice = asyncio.Event()
         self.roster: frozenset[str] = frozenset()
-        self.holds = 0
+        self.withheld_count = 0
         self._stored = asyncio.Event()
 
     def __repr__(self) -> str:
@@ -46,7 +46,7 @@
 
     def notify_writers(self) -> None:
         """Wake the loops that write records, if there are any to write."""
-        if self._core.pressing or self._core.dropped or self.roster_changed():
+        if self._core.write_urgent or self._core.dropped or self.roster_changed():
             self.dirty.set()
         if self._core.finished:
             self.finish.set()
@@ -55,7 +55,10 @@
 
     def roster_changed(self) -> bool:
         """Whether the roster is to be written."""
-        return self.holds != self._core.holds or self.roster != self._core.executors.keys()
+        return (
+            self.withheld_count != self._core.withheld_count
+            or self.roster != self._core.executors.keys()
+        )
 
     def stored(self) -> None:
         """Take in that records were written."""
--- a/src/linkspan/shard/_reasons.py
+++ b/src/linkspan/shard/_reasons.py
@@ -48,9 +48,9 @@
 
 def roster_counts(state: ShardState) -> dict[str, int]:
     """Return how the executors of former owners were heard of; ``open`` ones were not."""
-    counts = dict(state.settled)
-    if state.adopting_ids:
-        counts["open"] = len(state.adopting_ids)
+    counts = dict(state.resolved_inherited)
+    if state.awaiting_report_ids:
+        counts["open"] = len(state.awaiting_report_ids)
     return counts
 
 
--- a/src/linkspan/shard/_shard_state.py
+++ b/src/linkspan/shard/_shard_state.py
@@ -61,12 +61,12 @@
         tokens: Fencing tokens of the executors' lives.
         executors: Executors that are registered or may run something, by name.
         incarnations_by_id: The same by id: lives that share one, of which at most one goes on.
-        held: Ends that are held of lives that left the books, which may be back.
+        withheld_ends: Ends that are held of lives that left the books, which may be back.
         membership_changes: How many lives came or went, so that nobody need compare them all.
-        adopting_ids: Inherited executors that have not answered yet.
-        settled: How many of the others answered, are gone or outlived their lease.
+        awaiting_report_ids: Inherited executors that have not answered yet.
+        resolved_inherited: How many of the others answered, are gone or outlived their lease.
         jobs: Jobs that the shard looks after, by id.
-        left: Jobs that ended here or moved away: older records of them may still be read.
+        departed_jobs: Jobs that ended here or moved away: older records of them may still be read.
         health: What is known of the executors' soundness.
         interference: What is known of how tasks disturb each other.
         advice: Tickets of the queues' placement policies.
@@ -76,13 +76,13 @@
         finished: Final records to write.
         begun: Jobs of which a first task was started, to be told.
         dirty: Repetitions whose records are to be written, by job and number.
-        pressing: Whether any of these records waits for more than an answer to a start.
+        write_urgent: Whether any of these records waits for more than an answer to a start.
         dropped: Keys of the records to remove.
-        look_at: Executors to be asked at once.
-        holds: How many ends were held back so far, so that nobody need compare them all.
+        executors_to_poll: Executors to be asked at once.
+        withheld_count: How many ends were held back so far, so that nobody need compare them all.
         suspects: Tasks under which executors crashed, as an ordered set.
         executor_crashes: Executors that fell, the newest last.
-        sole_until: Steady time until which no later owner can have claimed the shard. A lease
+        sole_owner_until: Steady time until which no later owner can have claimed the shard. A lease
             that ends by then is over; one that ends after it a later owner may have renewed.
         ready: Steps with tasks that may wait for a start, as an ordered set.
     """
@@ -104,12 +104,12 @@
         self.tokens = TenureTokens(token)
         self.executors: dict[str, ExecutorState] = {}
         self.incarnations_by_id: dict[str, dict[str, ExecutorState]] = {}
-        self.held: dict[str, set[int]] = {}
+        self.withheld_ends: dict[str, set[int]] = {}
         self.membership_changes = 0
-        self.adopting_ids: set[str] = set()
-        self.settled: Counter[str] = Counter()
+        self.awaiting_report_ids: set[str] = set()
+        self.resolved_inherited: Counter[str] = Counter()
         self.jobs: dict[str, ShardJob] = {}
-        self.left: set[str] = set()
+        self.departed_jobs: set[str] = set()
         self.health = ExecutorHealth()
         self.interference = InterferenceEstimator()
         self.advice = AdviceCache()
@@ -119,13 +119,13 @@
         self.finished: list[Finished] = []
         self.begun: list[str] = []
         self.dirty: dict[tuple[str, int], JobRun] = {}
-        self.pressing = False
+        self.write_urgent = False
         self.dropped: list[bytes] = []
-        self.look_at: set[str] = set()
-        self.holds = 0
+        self.executors_to_poll: set[str] = set()
+        self.withheld_count = 0
         self.suspects: dict[Task, None] = {}
         self.executor_crashes: list[ExecutorCrash] = []
-        self.sole_until = float("inf")
+        self.sole_owner_until = float("inf")
         self.ready: dict[StepRun, None] = {}
 
     def __repr__(self) -> str:
@@ -156,7 +156,7 @@
         incarnations = self.incarnations_by_id.setdefault(Incarnation.of(name).executor_id, {})
         executor.token = self.tokens.of_next(incarnations.values())
         incarnations[name] = executor
-        executor.held |= self.held.pop(name, set())
+        executor.withheld_ends |= self.withheld_ends.pop(name, set())
         self.membership_changes += 1
 
     def outdated(self, executor: ExecutorState) -> bool:
@@ -184,17 +184,17 @@
 
     def _keep_held(self, executor: ExecutorState) -> None:
         """Keep which ends of a life are held: taken for lost, it may only be cut off."""
-        if not executor.held:
+        if not executor.withheld_ends:
             return
-        if len(self.held) >= MAX_REMEMBERED_INCARNATIONS:
-            del self.held[next(iter(self.held))]
-        self.held[executor.executor_id] = executor.held
+        if len(self.withheld_ends) >= MAX_REMEMBERED_INCARNATIONS:
+            del self.withheld_ends[next(iter(self.withheld_ends))]
+        self.withheld_ends[executor.executor_id] = executor.withheld_ends
 
-    def settle(self, executor_id: str, how: str) -> None:
+    def resolve_inherited(self, executor_id: str, how: str) -> None:
         """Wait no longer for an inherited executor, and count why."""
-        if executor_id in self.adopting_ids:
-            self.adopting_ids.remove(executor_id)
-            self.settled[how] += 1
+        if executor_id in self.awaiting_report_ids:
+            self.awaiting_report_ids.remove(executor_id)
+            self.resolved_inherited[how] += 1
 
     def find_task(self, name: TaskName) -> Task | None:
         """Return a task by name, ``None`` if this shard has none of that name."""
@@ -258,7 +258,7 @@
         task = attempt.task
         if task.pending:
             self.mark_ready(task, now)
-        self.touch(task.step.run)
+        self.mark_dirty(task.step.run)
 
     def set_crash_history(self, task: Task, crash_history: CrashHistory | None) -> None:
         """Set what crashes say against a task."""
@@ -281,17 +281,17 @@
         if task.step.open:
             self.ready[task.step] = None
 
-    def touch(self, run: JobRun, *, pressing: bool = True) -> None:
+    def mark_dirty(self, run: JobRun, *, urgent: bool = True) -> None:
         """Have the record of a repetition written again.
 
         Args:
             run: The repetition.
-            pressing: Whether to write it soon, and not with what is written next.
+            urgent: Whether to write it soon, and not with what is written next.
         """
         run.version += 1
         if run.durable != float("inf"):
             self.dirty[(run.job.job_id, run.repetition)] = run
-            self.pressing |= pressing
+            self.write_urgent |= urgent
 
     def is_dirty(self, run: JobRun) -> bool:
         """Whether the record of a repetition is to be written."""
@@ -315,7 +315,7 @@
         if not dirty:
             self.dirty.pop((run.job.job_id, run.repetition), None)
 
-    def hear(self, executor: ExecutorState, clock_s: float, now: float) -> None:
+    def record_contact(self, executor: ExecutorState, clock_s: float, now: float) -> None:
         """Take in that an executor reported, and what its clock showed.
 
         Only reports say whose clock it is: other answers may come from the next life.
@@ -325,7 +325,7 @@
             # have granted the longest lease there, and so may we to the life before.
             granted_s = clock_s + self._bounds.max_lease_s
             executor.clock = LeaseClock(clock_s, now, granted_s)
-        executor.clock.hear(clock_s, now)
+        executor.clock.observe(clock_s, now)
         if executor.silent_since is not None:
             self.log(
                 Event.EXECUTOR_BACK,
@@ -333,12 +333,12 @@
                 silent_s=round(now - executor.silent_since, 2),
             )
             executor.silent_since = None
-            executor.lapsed.clear()
+            executor.expired_attempts.clear()
 
     def send_start(self, attempt: Attempt) -> None:
         """Add a start order, also where one was sent before."""
         task = attempt.task
-        checkpoint = "" if attempt.copy else task.checkpoint
+        checkpoint = "" if attempt.speculative else task.checkpoint
         payload = task.step.run.job.spec.payload
         self.orders.append(
             StartOrder(
@@ -359,18 +359,18 @@
             attempt.phase = Phase.STARTING
             attempt.starts += 1
             # A next owner is to know that there is more than one order.
-            self.touch(attempt.task.step.run)
+            self.mark_dirty(attempt.task.step.run)
             self.send_start(attempt)
 
     def _wants_again(self, attempt: Attempt, executor: ExecutorState) -> bool:
         """Whether a run is to begin where its start got no answer."""
         task, job = attempt.task, attempt.task.step.run.job
-        if task.done or attempt.copy or job.closing:
+        if task.done or attempt.speculative or job.closing:
             return False
         if task.needs_isolation and attempt.carried_over:
             # It may be what ended the life before: it is placed anew, apart from others.
             return False
-        if attempt.found and (len(task.attempts) > 1 or job.requires_ticket):
+        if attempt.recovered and (len(task.attempts) > 1 or job.requires_ticket):
             # On record, neither a copy is told from what it runs beside, nor a ticket.
             return False
         suits = executor.record.takes_new_work and executor.record.service == job.service
@@ -391,7 +391,7 @@
     def open_steps(self, run: JobRun, now: float) -> None:
         """Make the steps ready whose dependencies are done."""
         for step in run.steps:
-            if not step.left or not step.open:
+            if not step.remaining_tasks or not step.open:
                 continue
             self.ready[step] = None
             for task in step.tasks:
--- a/src/linkspan/shard/attempt.py
+++ b/src/linkspan/shard/attempt.py
@@ -47,7 +47,7 @@
         placed_at: Steady time of the decision.
         confirmed_at: Steady time at which the executor confirmed it.
         pace: Share of full speed that it was ordered to work at, in percent.
-        pace_known: Whether the executor is known to have taken that.
+        pace_confirmed: Whether the executor is known to have taken that.
         paced_at: Steady time at which that was ordered.
         worked_s: Time of full speed that it had worked for by then.
         progress: How much of its work is done, in percent.
@@ -60,11 +60,12 @@
             to the next one.
         carried_over: Whether it came over from a life before, and the one that it counts at has not
             named it.
-        late_until: Steady time until which a start of it may be on its way that got no answer.
+        start_may_arrive_until: Steady time until which a start of it may be on its way that got no
+            answer.
         ticket: Permission of the queue's placement policy; empty without one.
         starts: How often its start was sent.
-        copy: Whether it runs beside an earlier attempt of its task.
-        found: Whether it was found on record or at its executor: for how long it runs is not
+        speculative: Whether it runs beside an earlier attempt of its task.
+        recovered: Whether it was found on record or at its executor: for how long it runs is not
             known then.
         isolated: Whether it was started apart from other suspects of crashes.
         moved: Whether it is stopped to continue elsewhere.
@@ -77,7 +78,7 @@
     placed_at: float
     confirmed_at: float = NEVER
     pace: int = FULL_PACE
-    pace_known: bool = True
+    pace_confirmed: bool = True
     paced_at: float = NEVER
     worked_s: float = 0.0
     progress: int = 0
@@ -88,11 +89,11 @@
     stop_taken_at: float | None = None
     listed: bool = False
     carried_over: bool = False
-    late_until: float = NEVER
+    start_may_arrive_until: float = NEVER
     ticket: str = ""
     starts: int = 1
-    copy: bool = False
-    found: bool = False
+    speculative: bool = False
+    recovered: bool = False
     isolated: bool = False
     moved: bool = False
 
@@ -107,7 +108,7 @@
 
         A former owner's start is refused by who has seen our token.
         """
-        if self.phase is Phase.INHERITED or self.found:
+        if self.phase is Phase.INHERITED or self.recovered:
             return False
         return self.confirmed_at == NEVER and not self.listed
 
@@ -117,12 +118,12 @@
 
         A former owner may have sent one more that it could not record.
         """
-        return self.starts == 1 and not self.found
+        return self.starts == 1 and not self.recovered
 
     @property
     def recorded_starts(self) -> int:
         """How many starts of it a next owner has to know of, 0 where none may be on its way."""
-        return self.starts if self.unanswered or self.late_until != NEVER else 0
+        return self.starts if self.unanswered or self.start_may_arrive_until != NEVER else 0
 
     def worked_by(self, now: float) -> float:
         """Return how much time of full speed it has worked for, in seconds."""
@@ -134,4 +135,4 @@
         self.worked_s = self.worked_by(now)
         self.paced_at = now
         self.pace = percent
-        self.pace_known = True
+        self.pace_confirmed = True
--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -120,7 +120,7 @@
         """Give out what is left beside the present paces, the most urgent first."""
         room = PressureRoom(executor, self._interference, now, by_need)
         for attempt in by_need:
-            if attempt.pace >= FULL_PACE and attempt.pace_known:
+            if attempt.pace >= FULL_PACE and attempt.pace_confirmed:
                 continue
             spec, pace = attempt.task.step.spec, attempt.pace
             more = min(room.share(spec), 1.0 - pace / 100)
@@ -137,7 +137,7 @@
     ) -> None:
         """Order a pace if the change is worth it, or the one in force is not known."""
         pace = _rounded(pace, attempt.pace)
-        if abs(pace - attempt.pace) < LEAST_STEP and attempt.pace_known:
+        if abs(pace - attempt.pace) < LEAST_STEP and attempt.pace_confirmed:
             return
         self._changed_at[executor.executor_id] = now
         self._core.log(
@@ -146,7 +146,7 @@
             job=attempt.task.name.job_id,
             image=attempt.task.step.spec.image,
             percent=pace,
-            was=attempt.pace if attempt.pace_known else None,
+            was=attempt.pace if attempt.pace_confirmed else None,
             disturbed=worst.task.step.spec.image if worst else None,
             latency_over_target=round(latency_ratio(worst) or 0.0, 2) if worst else None,
         )
--- a/src/linkspan/shard/core.py
+++ b/src/linkspan/shard/core.py
@@ -31,11 +31,11 @@
 from linkspan.shard.handover._delegations import Delegations
 from linkspan.shard.intake._jobs import JobIntake
 from linkspan.shard.orders._orders import Orders
-from linkspan.shard.reports._adoption import Adoption
-from linkspan.shard.reports._crashes import Crashes
+from linkspan.shard.reports._crashes import CrashTracker
 from linkspan.shard.reports._ends import Ends
-from linkspan.shard.reports._presence import Presence
-from linkspan.shard.reports._successions import Successions
+from linkspan.shard.reports._liveness import ExecutorLiveness
+from linkspan.shard.reports._reconciliation import ReportReconciler
+from linkspan.shard.reports._restarts import RestartTracker
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
@@ -84,10 +84,10 @@
         count: Callable[[str], None] = lambda _name: None,
     ) -> None:
         super().__init__(shard, bounds, log=log, token=token, count=count)
-        self._crashes = Crashes(self)
-        self._successions = Successions(self, self._crashes)
-        self._presence = Presence(self, self._crashes, self._successions)
-        self._adoption = Adoption(
+        self._crashes = CrashTracker(self)
+        self._successions = RestartTracker(self, self._crashes)
+        self._presence = ExecutorLiveness(self, self._crashes, self._successions)
+        self._adoption = ReportReconciler(
             self, Ends(self), self._presence, self._successions, self._crashes
         )
         self._intake = JobIntake(self)
@@ -107,9 +107,9 @@
         self._presence.inherit(roster, until, read=read)
 
     @property
-    def adopting(self) -> bool:
+    def awaiting_reports(self) -> bool:
         """Whether an inherited executor has not answered yet."""
-        return bool(self.adopting_ids)
+        return bool(self.awaiting_report_ids)
 
     def may_start(self, job: ShardJob, now: float) -> bool:
         """Whether no former owner's unrecorded run of a job's tasks can be alive."""
@@ -147,10 +147,10 @@
         """
         self._presence.on_gone(executor_id, now, proof, since=since)
 
-    def adopted(self, executor_id: str) -> bool:
+    def has_reported(self, executor_id: str) -> bool:
         """Whether an incarnation has answered in this tenure."""
         executor = self.executors.get(executor_id)
-        return executor is not None and executor.adopted
+        return executor is not None and executor.has_reported
 
     def on_silent(self, executor_id: str, now: float, *, cause: str = "") -> None:
         """Take in that a call to an executor got no answer, or none that decodes."""
@@ -184,7 +184,7 @@
 
     def unknown(self, job_ids: set[str]) -> set[str]:
         """Return those of some jobs that this shard never looked after in this tenure."""
-        return {job_id for job_id in job_ids if job_id not in self.jobs} - self.left
+        return {job_id for job_id in job_ids if job_id not in self.jobs} - self.departed_jobs
 
     # Jobs
 
@@ -299,7 +299,7 @@
         *,
         ticket: str = "",
         run: int | None = None,
-        copy: bool = False,
+        speculative: bool = False,
         pace: int = FULL_PACE,
     ) -> Attempt:
         """Decide to start a task on an executor.
@@ -310,11 +310,11 @@
             now: Steady time.
             ticket: Permission of the queue's placement policy.
             run: Number shared by a gang, ``None`` for the task's next one.
-            copy: Whether it may run beside another attempt.
+            speculative: Whether it may run beside another attempt.
             pace: Share of full speed at which it is to work, in percent.
         """
         return self._dispatch.place(
-            task, executor, now, ticket=ticket, run=run, copy=copy, pace=pace
+            task, executor, now, ticket=ticket, run=run, speculative=speculative, pace=pace
         )
 
     def unplace(self, attempt: Attempt) -> None:
@@ -368,5 +368,5 @@
         return {
             "jobs": len(self.jobs),
             "executors": len(self.executors),
-            "adopting": len(self.adopting_ids),
+            "adopting": len(self.awaiting_report_ids),
         }
--- a/src/linkspan/shard/executor.py
+++ b/src/linkspan/shard/executor.py
@@ -24,7 +24,7 @@
 missing that is registered."""
 
 
-MOST_HELD_ENDS = 250
+MAX_ENDS_BEHIND_WITHHELD = 250
 """Ends behind one that is held: an executor lists 500 at once, and none that came after."""
 
 
@@ -35,7 +35,7 @@
         number: Its number at the executor.
         run: The repetition whose record must hold it, ``None`` if nobody needs it.
         version: Version of that record from which on it does.
-        held_until: Steady time until which a start of its run may be on its way. The executor's
+        withheld_until: Steady time until which a start of its run may be on its way. The executor's
             next life may carry that out, and a run is not to begin after an end that was
             acknowledged.
     """
@@ -43,7 +43,7 @@
     number: int
     run: JobRun | None
     version: int
-    held_until: float = NEVER
+    withheld_until: float = NEVER
 
     @property
     def durable(self) -> bool:
@@ -60,7 +60,7 @@
         clock: Its clock and lease; ``None`` before its first answer.
         listed: Whether it is registered at present.
         rostered: Whether the durable roster names it; starts need that.
-        adopted: Whether it has answered in this tenure.
+        has_reported: Whether it has answered in this tenure.
         reported_s: Its own clock in the newest report.
         reported_at: Steady time at which its newest report was read.
         answered_at: Steady time at which an answer that names it last came; its report is read once
@@ -68,51 +68,54 @@
         figures_at: Steady time at which figures of its tasks were last taken in.
         silent_since: Steady time of the first call without an answer since it
             last answered; ``None`` while it answers.
-        seen: Number of the last end that was acted on.
+        last_handled_end: Number of the last end that was acted on.
         acknowledged: Number of the last end that it may forget.
         unacked: Ends after that one, in order.
         attempts: Attempts that may be running there, by task and run.
-        distrusted_until: Steady time until which it gets no new work.
+        quarantined_until: Steady time until which it gets no new work.
         leaves_at: Steady time at which it may leave, while it drains.
         unknown_runs: Whether it runs, or may run, what this shard knows no job of: how
             much room that takes is not known.
         missing_since: Steady time since when its registration is taken for gone.
-        entry_went_at: Steady time at which its entry went, if it did not come back.
-        largest: The most room that it was seen with: what shrank grows again.
-        relieve_at: Steady time from which work leaves it, while it holds more than its room.
-        lapses_at: Steady time by which what a life that nobody met may hold has ended.
-        forgotten: Number of the last end that it was told to forget, in a call that was answered.
+        entry_removed_at: Steady time at which its entry went, if it did not come back.
+        largest_capacity: The most room that it was seen with: what shrank grows again.
+        offload_at: Steady time from which work leaves it, while it holds more than its room.
+        leases_expire_at: Steady time by which what a life that nobody met may hold has ended.
+        ack_delivered: Number of the last end that it was told to forget, in a call that was
+            answered.
         token: Fencing token of all calls to it.
-        held: Numbers of ends that are held, or that a former owner held and this one did not read.
-        lapsed: Attempts that were let go when its leases had ended, while it stays silent.
+        withheld_ends: Numbers of ends that are held, or that a former owner held and this one did
+            not read.
+        expired_attempts: Attempts that were let go when its leases had ended, while it stays
+            silent.
     """
 
     record: ExecutorRecord
     clock: LeaseClock | None = None
     listed: bool = True
     rostered: bool = False
-    adopted: bool = False
+    has_reported: bool = False
     reported_s: float = NEVER
     reported_at: float = NEVER
     answered_at: float = NEVER
     figures_at: float = NEVER
     silent_since: float | None = None
-    seen: int = 0
+    last_handled_end: int = 0
     acknowledged: int = 0
     unacked: deque[UnackedEnd] = field(default_factory=deque)
     attempts: dict[tuple[TaskName, int], Attempt] = field(default_factory=dict)
-    distrusted_until: float = NEVER
+    quarantined_until: float = NEVER
     leaves_at: float = NEVER_LEAVES
     unknown_runs: bool = False
     missing_since: float = NEVER_LEAVES
-    entry_went_at: float = NEVER_LEAVES
-    lapsed: list[Attempt] = field(default_factory=list)
-    largest: Demand = field(default_factory=Demand)
-    relieve_at: float | None = None
-    lapses_at: float = NEVER
-    forgotten: int = 0
+    entry_removed_at: float = NEVER_LEAVES
+    expired_attempts: list[Attempt] = field(default_factory=list)
+    largest_capacity: Demand = field(default_factory=Demand)
+    offload_at: float | None = None
+    leases_expire_at: float = NEVER
+    ack_delivered: int = 0
     token: int = 0
-    held: set[int] = field(default_factory=set)
+    withheld_ends: set[int] = field(default_factory=set)
 
     _beside: dict[tuple[TaskName, int], Attempt] = field(default_factory=dict)
     _judged: dict[tuple[TaskName, int], Attempt] = field(default_factory=dict)
@@ -124,7 +127,7 @@
     _gpus: int = 0
 
     def __post_init__(self) -> None:
-        self.largest = self.record.capacity
+        self.largest_capacity = self.record.capacity
 
     @property
     def executor_id(self) -> str:
@@ -142,10 +145,10 @@
         return self.record.draining
 
     @property
-    def left(self) -> bool:
+    def left_as_planned(self) -> bool:
         """Whether it leaves as planned: it said so, or answered on when its entry was gone."""
-        heard_at = self.clock.heard_at if self.clock else NEVER
-        return self.draining or heard_at > self.entry_went_at
+        heard_at = self.clock.observed_at if self.clock else NEVER
+        return self.draining or heard_at > self.entry_removed_at
 
     @property
     def reserved_cpu(self) -> int:
@@ -185,14 +188,18 @@
     @property
     def on_roster(self) -> ExecutorRecord:
         """What a next owner is told of it: at its largest, as it may be small for a while."""
-        return replace(self.record, capacity=self.largest, held=tuple(sorted(self.held)))
+        return replace(
+            self.record,
+            capacity=self.largest_capacity,
+            withheld_ends=tuple(sorted(self.withheld_ends)),
+        )
 
     def register(self, record: ExecutorRecord) -> None:
         """Take in what it says of itself now."""
         self.record = record
         self.listed = True
         self.missing_since = NEVER_LEAVES
-        self.largest = self.largest.union(record.capacity)
+        self.largest_capacity = self.largest_capacity.union(record.capacity)
 
     def add(self, attempt: Attempt) -> None:
         """Count an attempt in."""
@@ -238,29 +245,29 @@
         return (
             self.listed
             and self.rostered
-            and self.adopted
+            and self.has_reported
             and self.record.takes_new_work
             and self.silent_since is None
-            and now >= self.distrusted_until
+            and now >= self.quarantined_until
         )
 
     @property
-    def untold(self) -> bool:
+    def ack_pending(self) -> bool:
         """Whether it may forget ends that it was not told to forget yet."""
-        return self.acknowledged > self.forgotten
+        return self.acknowledged > self.ack_delivered
 
-    def holds_end(self, now: float) -> bool:
+    def withholds_end(self, now: float) -> bool:
         """Whether its next end to be acknowledged waits for a start that may be on its way."""
-        if not self.unacked or len(self.unacked) > MOST_HELD_ENDS:
+        if not self.unacked or len(self.unacked) > MAX_ENDS_BEHIND_WITHHELD:
             return False
-        return self.unacked[0].held_until > now
+        return self.unacked[0].withheld_until > now
 
     def advance_acknowledged(self, now: float) -> bool:
         """Move past ends that are durable and return whether there were any."""
         moved = False
-        while self.unacked and self.unacked[0].durable and not self.holds_end(now):
+        while self.unacked and self.unacked[0].durable and not self.withholds_end(now):
             self.acknowledged = self.unacked.popleft().number
-            self.held.discard(self.acknowledged)
+            self.withheld_ends.discard(self.acknowledged)
             moved = True
         return moved
 
--- a/src/linkspan/shard/handover/_delegations.py
+++ b/src/linkspan/shard/handover/_delegations.py
@@ -62,7 +62,7 @@
             task = run.steps[step].tasks[index]
             task.managed_by = shard
             task.delegation_number += 0 if job.delegated_here else 1
-        self._state.touch(run)
+        self._state.mark_dirty(run)
         return run
 
     def reclaim_tasks(self, job_id: str, returned: Iterable[Delegation], now: float) -> None:
@@ -77,7 +77,7 @@
                 task.returned_by[task.managed_by] = delegation.number
                 task.managed_by = None
                 self._state.set_crash_history(task, _brought_back(task, delegation))
-                self._state.touch(run)
+                self._state.mark_dirty(run)
                 self._state.mark_ready(task, now)
 
     def delegations(self, job_id: str) -> dict[int, tuple[Delegation, ...]]:
@@ -95,7 +95,7 @@
 
     def remove_moved(self, job_id: str) -> None:
         """Forget a job that was moved to another shard."""
-        self._state.left.add(job_id)
+        self._state.departed_jobs.add(job_id)
         job = self._state.jobs.pop(job_id, None)
         for run in job.runs.values() if job else ():
             self._state.dirty.pop((job_id, run.repetition), None)
--- a/src/linkspan/shard/handover/_evidence.py
+++ b/src/linkspan/shard/handover/_evidence.py
@@ -38,7 +38,7 @@
         return {
             "by": origin(job),
             "rostered": len(rostered),
-            "answered": sum(e.adopted for e in rostered),
+            "answered": sum(e.has_reported for e in rostered),
             "roster": roster_counts(self._core),
             "run_version": run.version,
             "run_durable": run.durable,
--- a/src/linkspan/shard/handover/summary.py
+++ b/src/linkspan/shard/handover/summary.py
@@ -49,7 +49,7 @@
         rooms: Free thousandths of a core and megabytes of each executor.
         kinds: What its executors are like, also of those that take no work just now, but
             for those that leave; ``None`` if that is not told.
-        larger: Service and size of executors that had more room before: it comes back.
+        former_capacities: Service and size of executors that had more room before: it comes back.
     """
 
     capacity: int = 0
@@ -61,7 +61,7 @@
     effects: tuple[PairEffect, ...] = ()
     rooms: tuple[tuple[int, int], ...] = ()
     kinds: tuple[ExecutorKind, ...] | None = None
-    larger: tuple[tuple[str, Demand], ...] = ()
+    former_capacities: tuple[tuple[str, Demand], ...] = ()
 
     def able(self, step: StepSpec, service: str) -> int:
         """Return how many executors could run a task of a step if they were empty."""
@@ -93,7 +93,7 @@
             self.rooms,
             self.queued,
             None if self.kinds is None else [_kind_row(kind) for kind in self.kinds],
-            [[service, _size_row(size)] for service, size in self.larger],
+            [[service, _size_row(size)] for service, size in self.former_capacities],
         ]
 
     @classmethod
@@ -186,14 +186,16 @@
         kinds=kinds_of(
             e.record for e in core.executors.values() if e.listed and e.record.takes_new_work
         ),
-        larger=_larger_before(core),
+        former_capacities=_larger_before(core),
     )
 
 
 def _larger_before(core: ShardCore) -> tuple[tuple[str, Demand], ...]:
     """Return the sizes of executors that have less room now than they had."""
-    shrunk = (e for e in core.executors.values() if e.listed and e.largest != e.record.capacity)
-    return tuple({(e.record.service, e.largest): None for e in shrunk})
+    shrunk = (
+        e for e in core.executors.values() if e.listed and e.largest_capacity != e.record.capacity
+    )
+    return tuple({(e.record.service, e.largest_capacity): None for e in shrunk})
 
 
 def _pending_cpu(core: ShardCore, *, best_effort: bool) -> int:
--- a/src/linkspan/shard/intake/_feed.py
+++ b/src/linkspan/shard/intake/_feed.py
@@ -49,7 +49,7 @@
             self._on_known_job(job_id, entry, now)
         elif entry.shard == self._shard or self._shard in entry.delegated:
             # A former owner that has not yet read of our claim may see it too.
-            self.add_job(job_id, entry, now, inherited=self._core.adopting)
+            self.add_job(job_id, entry, now, inherited=self._core.awaiting_reports)
         self._changes.notify()
 
     def add_job(
@@ -73,8 +73,8 @@
             accepted_by=entry.submitted.host,
             token=self._token,
             inherited=inherited,
-            adopting=len(self._core.adopting_ids),
-            left=job_id in self._core.left,
+            adopting=len(self._core.awaiting_report_ids),
+            left=job_id in self._core.departed_jobs,
             records=len(progress or ()),
             begun=entry.begun,
             moved=entry.moved is not None,
@@ -113,7 +113,7 @@
         """Let go of a job whose move is told; the answer to its record may come later."""
         self._core.remove_moved(job_id)
         if entry.open_delegations(self._shard):
-            self.add_job(job_id, entry, now, inherited=self._core.adopting)
+            self.add_job(job_id, entry, now, inherited=self._core.awaiting_reports)
 
     def reclaim_tasks(self, job_id: str, entry: JobEntry, now: float) -> None:
         """Look after the tasks again that other shards returned."""
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -60,7 +60,7 @@
         job_id = submitted.spec.job_id
         if job_id in self._state.jobs:
             return
-        if job_id in self._state.left and delegated_here is None:
+        if job_id in self._state.departed_jobs and delegated_here is None:
             # A loan is newer than the move that it follows; other news is older.
             return
         # Begun by the records: its progress may not have become durable.
@@ -114,7 +114,7 @@
                 away = run.task(TaskName(job.job_id, repetition, delegation.step, delegation.index))
                 if away:
                     away.managed_by, away.delegation_number = shard, delegation.number
-        self._state.touch(run)
+        self._state.mark_dirty(run)
         return run
 
     def _restore(self, run: JobRun, value: bytes, now: float) -> None:
@@ -201,7 +201,7 @@
         job = self._state.jobs.get(job_id)
         if job is None:
             return
-        self._state.left.add(job_id)
+        self._state.departed_jobs.add(job_id)
         for run in job.runs.values():
             run.durable = float("inf")
             self._state.dirty.pop((job_id, run.repetition), None)
--- a/src/linkspan/shard/job_run.py
+++ b/src/linkspan/shard/job_run.py
@@ -42,7 +42,7 @@
     @property
     def done(self) -> bool:
         """Whether every task is done."""
-        return all(step.left == 0 for step in self.steps)
+        return all(step.remaining_tasks == 0 for step in self.steps)
 
     @property
     def work_left(self) -> float:
@@ -51,7 +51,7 @@
         return sum(
             step.tasks_left * step.spec.demand.milli_cpu * lengths[step.index]
             for step in self.steps
-            if step.left
+            if step.remaining_tasks
         )
 
     def tasks(self) -> Iterator[Task]:
@@ -70,7 +70,7 @@
     """Return a repetition with all of its tasks to do."""
     run = JobRun(job, repetition)
     for index, spec in enumerate(job.spec.steps):
-        step = StepRun(run, index, spec, left=spec.count)
+        step = StepRun(run, index, spec, remaining_tasks=spec.count)
         step.tasks = [
             Task(TaskName(job.job_id, repetition, index, number), step)
             for number in range(spec.count)
--- a/src/linkspan/shard/leases.py
+++ b/src/linkspan/shard/leases.py
@@ -7,7 +7,7 @@
 CLOCK_DRIFT = 0.02
 """Share by which an executor's steady clock may run slow, as the platform states."""
 
-LAPSE_MARGIN_S = 0.1
+LEASE_EXPIRY_MARGIN_S = 0.1
 """Added to each lapse: executors answer in milliseconds and kill at once, and
 timers of both sides fire slightly late."""
 
@@ -18,33 +18,33 @@
 
     Attributes:
         clock_s: The executor's clock in its last answer.
-        heard_at: Our steady time when that answer arrived.
+        observed_at: Our steady time when that answer arrived.
         granted_s: Latest lease end that anyone may have sent, on the executor's clock.
     """
 
     clock_s: float
-    heard_at: float
+    observed_at: float
     granted_s: float
 
-    def hear(self, clock_s: float, now: float) -> None:
+    def observe(self, clock_s: float, now: float) -> None:
         """Take in the clock of an answer; answers may overtake each other."""
         if clock_s >= self.clock_s:
             self.clock_s = clock_s
-            self.heard_at = now
+            self.observed_at = now
 
     def grant(self, lease_s: float, now: float) -> float:
         """Return the end of a lease granted now, on the executor's clock."""
-        until = self.clock_s + (now - self.heard_at) + lease_s
+        until = self.clock_s + (now - self.observed_at) + lease_s
         self.granted_s = max(self.granted_s, until)
         return until
 
-    def lapsed_by(self) -> float:
+    def leases_expired_at(self) -> float:
         """Return our steady time from which every granted lease has surely ended."""
         left = max(self.granted_s - self.clock_s, 0.0)
-        return self.heard_at + left / (1.0 - CLOCK_DRIFT) + LAPSE_MARGIN_S
+        return self.observed_at + left / (1.0 - CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
 
 
-def inherited_lapse(claimed_at: float, offline_s: float, lease_s: float) -> float:
+def inherited_lease_expiry(claimed_at: float, offline_s: float, lease_s: float) -> float:
     """Return when leases of a former owner have surely ended.
 
     Args:
@@ -52,7 +52,7 @@
         offline_s: Time for which an owner acts without having proved itself.
         lease_s: Longest lease.
     """
-    return claimed_at + offline_s + lease_s / (1.0 - CLOCK_DRIFT) + LAPSE_MARGIN_S
+    return claimed_at + offline_s + lease_s / (1.0 - CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
 
 
 def next_incarnation_lease_expiry(called_at: float, lease_s: float) -> float:
@@ -64,4 +64,4 @@
         called_at: Our steady time by which the last call that may come there was sent.
         lease_s: Longest lease.
     """
-    return called_at + lease_s / (1.0 - CLOCK_DRIFT) + LAPSE_MARGIN_S
+    return called_at + lease_s / (1.0 - CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_S
--- a/src/linkspan/shard/messages.py
+++ b/src/linkspan/shard/messages.py
@@ -48,7 +48,7 @@
             there that does not, and then it gets no new work.
         is_placeholder: Whether it stands for an executor's next life, which may carry out orders to
             the one before and has not answered yet.
-        held: Numbers of ends that a former owner held back from acknowledgement.
+        withheld_ends: Numbers of ends that a former owner held back from acknowledgement.
     """
 
     executor_id: str
@@ -62,7 +62,7 @@
     remaining_s: float = 0.0
     confirmed: bool = True
     is_placeholder: bool = False
-    held: tuple[int, ...] = ()
+    withheld_ends: tuple[int, ...] = ()
 
     @property
     def takes_new_work(self) -> bool:
@@ -170,14 +170,14 @@
         clock_s: The executor's steady clock when it answered.
         running: Runs at work.
         ended: Ends that are not acknowledged yet, in order.
-        whole: Whether it names all runs there, so that a run in neither list is none.
+        is_complete: Whether it names all runs there, so that a run in neither list is none.
         started_at_ms: When the executor that answered started, ``None`` where it does not tell.
     """
 
     clock_s: float
     running: tuple[RunningTask, ...]
     ended: tuple[EndedTask, ...]
-    whole: bool = True
+    is_complete: bool = True
     started_at_ms: int | None = None
 
     @property
@@ -199,7 +199,7 @@
         """
         running = tuple(row for row in self.running if row.task.job_id not in job_ids)
         ended = tuple(takewhile(lambda end: end.task.job_id not in job_ids, self.ended))
-        return replace(self, running=running, ended=ended, whole=False)
+        return replace(self, running=running, ended=ended, is_complete=False)
 
 
 class StartOutcome(Enum):
--- a/src/linkspan/shard/orders/_dispatch.py
+++ b/src/linkspan/shard/orders/_dispatch.py
@@ -99,11 +99,11 @@
                 self._metrics.observe("start_wait", core.waited(order, steady()))
         for order in orders:
             self._scope.spawn(self._send(order))
-        looks, core.look_at = core.look_at, set()
+        looks, core.executors_to_poll = core.executors_to_poll, set()
         for executor_id in looks:
             executor = core.executors.get(executor_id)
             if executor:
-                self._scope.spawn(self._watch.look_once(executor))
+                self._scope.spawn(self._watch.poll_once(executor))
 
     def _may_send(self, order: Order, executor: ExecutorState) -> bool:
         """Whether an order still holds: this process may have stood still since it was planned.
--- a/src/linkspan/shard/orders/_orders.py
+++ b/src/linkspan/shard/orders/_orders.py
@@ -22,7 +22,7 @@
 """Pause before a start that was refused for want of room is tried again: the time
 in which the executor's next report tells what it has."""
 
-LATE_START_S = 12.0
+MAX_START_DELAY_S = 12.0
 """Time after a start without an answer by which it was carried out, or never is."""
 
 MOST_RETRY_REFUSED_S = 0.4
@@ -51,17 +51,19 @@
         *,
         ticket: str = "",
         run: int | None = None,
-        copy: bool = False,
+        speculative: bool = False,
         pace: int = FULL_PACE,
     ) -> Attempt:
         """Decide to start a task on an executor."""
         number = task.next_run if run is None else run
-        attempt = Attempt(task, number, executor.executor_id, Phase.STARTING, now, copy=copy)
+        attempt = Attempt(
+            task, number, executor.executor_id, Phase.STARTING, now, speculative=speculative
+        )
         attempt.pace = pace
         attempt.ticket = ticket
         task.next_run = number + 1
         self._state.attach(executor, attempt)
-        self._state.touch(task.step.run)
+        self._state.mark_dirty(task.step.run)
         job = task.step.run.job
         self._state.mark_begun(job)
         self._state.send_start(attempt)
@@ -99,14 +101,14 @@
             Event.START_REFUSED, order.executor_id, order.task, order.run, reason=reason
         )
         if answer.outcome is StartOutcome.UNHEALTHY:
-            executor.distrusted_until = max(executor.distrusted_until, now + UNHEALTHY_PAUSE_S)
+            executor.quarantined_until = max(executor.quarantined_until, now + UNHEALTHY_PAUSE_S)
         if answer.outcome is StartOutcome.INVALID:
-            attempt.task.avoid.add(order.executor_id)
+            attempt.task.avoided_executors.add(order.executor_id)
         if answer.outcome is StartOutcome.NO_TICKET:
             self._state.advice.drop(attempt.task.step, order.executor_id)
         attempt.task.not_before = now + _pause_s(attempt.task.refusals)
         attempt.task.refusals += 1
-        if attempt.late_until > now:
+        if attempt.start_may_arrive_until > now:
             # Refused now, an earlier order of it may be carried out yet.
             self._state.order_stop(attempt, now)
         else:
@@ -120,32 +122,32 @@
         run = attempt.task.step.run
         if not self._state.is_dirty(run):
             # It was written between the start and its answer.
-            self._state.touch(run, pressing=False)
+            self._state.mark_dirty(run, urgent=False)
 
     def on_start_unanswered(self, order: StartOrder, now: float) -> None:
         """Take in that a start got no answer: it may be carried out later."""
         attempt = self._state.find_attempt(order.task, order.run)
         if attempt is None:
             return
-        attempt.late_until = now + LATE_START_S
+        attempt.start_may_arrive_until = now + MAX_START_DELAY_S
         if attempt.phase is not Phase.STARTING:
             return
         attempt.phase = Phase.DOUBT
-        self._state.look_at.add(attempt.executor_id)
+        self._state.executors_to_poll.add(attempt.executor_id)
         self._state.log_run(Event.START_IN_DOUBT, order.executor_id, order.task, order.run)
 
     def on_pace_unknown(self, order: PaceOrder) -> None:
         """Take in that an executor may not have taken a pace: it is set again."""
         attempt = self._state.find_attempt(order.task, order.run)
         if attempt:
-            attempt.pace_known = False
+            attempt.pace_confirmed = False
 
     def on_start_unsent(self, order: StartOrder, now: float) -> None:
         """Take in that a start was surely never sent."""
         attempt = self._state.find_attempt(order.task, order.run)
         if attempt is None or attempt.phase is not Phase.STARTING:
             return
-        if attempt.late_until > now:
+        if attempt.start_may_arrive_until > now:
             attempt.phase = Phase.DOUBT
         else:
             self._state.close(attempt, now)
@@ -163,7 +165,7 @@
         if attempt.stop_taken_at is None:
             # Whether it ran is told by the next look: it is then listed or ended.
             attempt.stop_taken_at = now
-            self._state.look_at.add(order.executor_id)
+            self._state.executors_to_poll.add(order.executor_id)
 
     def tick(self, now: float) -> None:
         """Send stops again whose end was not listed, and settle finished jobs."""
@@ -180,7 +182,7 @@
                     and executor.rostered
                     and executor.silent_since is None
                 ):
-                    self._state.look_at.add(executor.executor_id)
+                    self._state.executors_to_poll.add(executor.executor_id)
         for job in list(self._state.jobs.values()):
             if job.closing:
                 for attempt in job.attempts():
--- a/src/linkspan/shard/ownership/_proof.py
+++ b/src/linkspan/shard/ownership/_proof.py
@@ -50,7 +50,7 @@
         return self._claimed_at
 
     @property
-    def sole_until(self) -> float:
+    def sole_owner_until(self) -> float:
         """Steady time until which no other host can have claimed the shard since the last proof."""
         return self._proved_at + SILENCE_S
 
--- a/src/linkspan/shard/planning/_copies.py
+++ b/src/linkspan/shard/planning/_copies.py
@@ -53,7 +53,7 @@
         executor = self._view.placement(attempt.task.step, others).choose(attempt.task)
         if executor is None:
             return
-        copy = self._core.place(attempt.task, executor, self._now, copy=True)
+        copy = self._core.place(attempt.task, executor, self._now, speculative=True)
         self._core.log_run(
             Event.RUN_COPIED,
             copy.executor_id,
--- a/src/linkspan/shard/planning/_moves.py
+++ b/src/linkspan/shard/planning/_moves.py
@@ -112,7 +112,7 @@
                 if self._straggles(attempt):
                     task = attempt.task
                     task.moves += 1
-                    task.avoid.add(executor.executor_id)
+                    task.avoided_executors.add(executor.executor_id)
                     self._core.health.took(executor.executor_id, STRAGGLER_FACTOR * 2, self._now)
                     self._core.stop(attempt, self._now, reason="runs far longer than its like")
 
--- a/src/linkspan/shard/planning/_overfull.py
+++ b/src/linkspan/shard/planning/_overfull.py
@@ -40,11 +40,11 @@
         """Order the stops that are due now."""
         for executor in self._core.executors.values():
             if not executor.overfull:
-                executor.relieve_at = None
-            elif executor.relieve_at is None:
-                executor.relieve_at = self._now + OVERFULL_S
-            elif self._now >= executor.relieve_at:
-                executor.relieve_at = self._now + AGAIN_S
+                executor.offload_at = None
+            elif executor.offload_at is None:
+                executor.offload_at = self._now + OVERFULL_S
+            elif self._now >= executor.offload_at:
+                executor.offload_at = self._now + AGAIN_S
                 self._relieve(executor)
 
     def _relieve(self, executor: ExecutorState) -> None:
--- a/src/linkspan/shard/planning/advice.py
+++ b/src/linkspan/shard/planning/advice.py
@@ -112,7 +112,7 @@
         if now < self._not_before:
             return None
         for step, known in list(self._steps.items()):
-            if step.run.job.closing or step.left == 0:
+            if step.run.job.closing or step.remaining_tasks == 0:
                 del self._steps[step]
             elif known.wanted:
                 return AdviceCall(step, tuple(known.wanted)[:MOST_ASKED])
--- a/src/linkspan/shard/planning/placement.py
+++ b/src/linkspan/shard/planning/placement.py
@@ -120,7 +120,7 @@
         # is scored once a step, and once more for each task that is placed there.
         best: ExecutorState | None = None
         best_score = NO_ROOM
-        avoid = task.avoid
+        avoid = task.avoided_executors
         fill = self._may_fill(task)
         kind = self._kind(fill, starved)
         if self.full is not None and kind in self.full:
@@ -151,11 +151,11 @@
 
     def forgive(self, task: Task) -> bool:
         """Let a task use executors again that it failed on, if no other had room for a while."""
-        nowhere = all(e.executor_id in task.avoid for e in self.executors)
+        nowhere = all(e.executor_id in task.avoided_executors for e in self.executors)
         waited = self.now - task.ready_since
-        if not task.avoid or not (nowhere or waited >= AVOID_S):
+        if not task.avoided_executors or not (nowhere or waited >= AVOID_S):
             return False
-        task.avoid.clear()
+        task.avoided_executors.clear()
         return True
 
     def fitting(self, task: Task) -> list[ExecutorState]:
@@ -164,7 +164,8 @@
         return [
             e
             for e in self.executors
-            if e.executor_id not in task.avoid and self.reason_against(e, fill=fill) is None
+            if e.executor_id not in task.avoided_executors
+            and self.reason_against(e, fill=fill) is None
         ]
 
     def _kind(self, fill: bool, starved: bool) -> TaskKind | None:
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -131,7 +131,7 @@
         for task in pending:
             executor = placement.choose(task) or self._second_choice(placement, task)
             if executor is None:
-                if not task.avoid:
+                if not task.avoided_executors:
                     # Tasks of a step are alike: none of the others fits either.
                     break
                 continue
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -114,7 +114,7 @@
         core = self._core
         runs = list(core.dirty.values())
         core.dirty.clear()
-        core.pressing = False
+        core.write_urgent = False
         dropped, core.dropped = core.dropped, []
         # A job whose final state is on its way is dropped once that is durable.
         runs = [run for run in runs if not run.job.closing]
@@ -122,7 +122,7 @@
         # First, since a job that moved away may have come back with loans meanwhile.
         records = [Record(b"", key) for key in dropped]
         records += [Record(encode_run(run), key_of(run)) for run in runs]
-        roster, holds = frozenset(core.executors), core.holds
+        roster, holds = frozenset(core.executors), core.withheld_count
         if self._changes.roster_changed():
             listed = encode_roster(e.on_roster for e in core.executors.values())
             records.append(Record(listed, ROSTER_KEY))
@@ -130,7 +130,7 @@
             return
         await self._writer.write(records)
         self._changes.roster = roster
-        self._changes.holds = holds
+        self._changes.withheld_count = holds
         if self._core.suspects:
             # They wait until their crashes are on record.
             self._changes.wake.set()
@@ -162,8 +162,8 @@
 
         Once a job is over, nothing else keeps a next owner from having them forgotten.
         """
-        holds = self._core.holds
-        while self._changes.holds < holds:
+        holds = self._core.withheld_count
+        while self._changes.withheld_count < holds:
             self._changes.dirty.set()
             await self._changes.next_stored()
 
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -9,7 +9,7 @@
 from linkspan.errors import LogGap, RecordError, StoreRefused, StoreUnanswered
 from linkspan.events import Event
 from linkspan.jobs.records import Delegated, Returned
-from linkspan.shard.leases import inherited_lapse
+from linkspan.shard.leases import inherited_lease_expiry
 from linkspan.shard.recovery.progress import ROSTER_KEY, decode_roster, moved_to, parse_key
 from linkspan.shard.reports._watch import RETRY_S
 from linkspan.store.listing import Listing
@@ -90,7 +90,7 @@
         core = self._core
         if self._configuration.current:
             core.configure(self._configuration.current)
-        lapse = inherited_lapse(
+        lapse = inherited_lease_expiry(
             self._proof.claimed_at, self._former_offline_s, self._settings.bounds.max_lease_s
         )
         self._inherit(records.pop(ROSTER_KEY, b""), lapse)
@@ -104,7 +104,7 @@
             shard=self._shard,
             token=self._token,
             took_s=round(now - self._proof.claimed_at, 3),
-            roster=len(core.adopting_ids),
+            roster=len(core.awaiting_report_ids),
             former_acts_s=round(self._former_offline_s, 2),
             leases_end_s=round(lapse - now, 2),
             **core.describe(),
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -14,7 +14,7 @@
 from linkspan.shard.crash_history import CrashHistory
 from linkspan.shard.failures import FailedRun, Failures
 from linkspan.shard.incarnation import Incarnation
-from linkspan.shard.orders._orders import LATE_START_S
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
 
 if TYPE_CHECKING:
     from linkspan.shard.step_run import StepRun
@@ -194,11 +194,11 @@
     """Return an attempt of a record, which a start may be on its way for."""
     number, *place = fields
     attempt = Attempt(
-        task, whole(number), incarnation_name(place), Phase.INHERITED, now, found=True
+        task, whole(number), incarnation_name(place), Phase.INHERITED, now, recovered=True
     )
     if len(place) > 2:
         attempt.starts = whole(place[2], least=1)
-        attempt.late_until = now + LATE_START_S
+        attempt.start_may_arrive_until = now + MAX_START_DELAY_S
     attempt.carried_over = len(place) > 3 and whole(place[3]) > 0
     return attempt
 
--- a/src/linkspan/shard/recovery/progress.py
+++ b/src/linkspan/shard/recovery/progress.py
@@ -91,7 +91,7 @@
         for step, listed in zip(run.steps, rows(orjson.loads(value)), strict=True):
             for task, row in zip(step.tasks, rows(listed), strict=True):
                 restore_task(task, row, now)
-            step.left = sum(not task.done for task in step.tasks)
+            step.remaining_tasks = sum(not task.done for task in step.tasks)
     except (ValueError, TypeError, IndexError) as error:
         raise RecordError(f"progress of {run.job.job_id}: {error!r}") from error
 
@@ -121,7 +121,11 @@
         return [None]
     started_at_ms = incarnation_fields(executor.executor_id)[1:]
     # Where it tells no birth, no next life gets its orders.
-    return [*started_at_ms, executor.held] if started_at_ms and executor.held else [*started_at_ms]
+    return (
+        [*started_at_ms, executor.withheld_ends]
+        if started_at_ms and executor.withheld_ends
+        else [*started_at_ms]
+    )
 
 
 def decode_roster(value: bytes) -> tuple[ExecutorRecord, ...]:
@@ -149,7 +153,7 @@
         frozenset(text(label) for label in rows(labels)),
         text(rack),
         is_placeholder=incarnation[:1] == [None],
-        held=tuple(whole(number) for number in rows(incarnation[1]))
+        withheld_ends=tuple(whole(number) for number in rows(incarnation[1]))
         if len(incarnation) > 1
         else (),
     )
--- a/src/linkspan/shard/reports/_crash_weights.py
+++ b/src/linkspan/shard/reports/_crash_weights.py
@@ -33,7 +33,9 @@
     """Whether a run is known to have been there: its start was answered, by what is on record."""
     if attempt.carried_over:
         return False
-    return attempt.confirmed_at != NEVER or (attempt.found and attempt.late_until == NEVER)
+    return attempt.confirmed_at != NEVER or (
+        attempt.recovered and attempt.start_may_arrive_until == NEVER
+    )
 
 
 def is_certain(attempt: Attempt, crashed_at: float) -> bool:
@@ -48,7 +50,7 @@
     length_s = _length_s(attempt)
     if length_s == float("inf"):
         return True
-    if not attempt.found and crashed_at - attempt.placed_at < LEAST_SHARE * length_s:
+    if not attempt.recovered and crashed_at - attempt.placed_at < LEAST_SHARE * length_s:
         return True
     left_s = length_s * (1.0 - attempt.progress / FULL_PROGRESS) if attempt.progress else length_s
     return crashed_at - attempt.progress_at < LEAST_SHARE * left_s
@@ -68,7 +70,7 @@
     unheard = known.crash_count - known.confirmed_count
     if known.counts_run(attempt.run):
         return False
-    return attempt.found or not known.at_crash_limit or unheard > 0
+    return attempt.recovered or not known.at_crash_limit or unheard > 0
 
 
 def stands_out(attempt: Attempt, suspects: list[Attempt]) -> bool:
@@ -86,7 +88,7 @@
     if attempt.confirmed_at == NEVER:
         # It may have come to an executor that had fallen already, or never.
         return MIN_CRASH_SCORE
-    if attempt.found or worked > min(EARLY_CRASH_S, _length_s(attempt)):
+    if attempt.recovered or worked > min(EARLY_CRASH_S, _length_s(attempt)):
         return MIN_CRASH_SCORE
     return EARLY_CRASH_SCORE if worked > IMMEDIATE_CRASH_S else IMMEDIATE_CRASH_SCORE
 
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -67,7 +67,7 @@
 does so soon, and an executor of a wide step holds more than a line can."""
 
 
-class Crashes:
+class CrashTracker:
     """Counts crashes at the tasks that were there, and gives up those that they name.
 
     Args:
@@ -79,7 +79,7 @@
         self._accused: dict[Task, tuple[Attempt, float]] = {}
 
     def __repr__(self) -> str:
-        return f"Crashes({len(self._state.executor_crashes)} falls)"
+        return f"CrashTracker({len(self._state.executor_crashes)} falls)"
 
     def on_gone(self, executor: ExecutorState, now: float, proof: str) -> None:
         """Take in that an incarnation ended; its attempts are still on the books."""
@@ -130,7 +130,7 @@
     def _retract(self, task: Task, incarnation: str) -> None:
         if task.crash_history:
             run = task.step.run
-            self._state.touch(run)
+            self._state.mark_dirty(run)
             if task.managed_by is not None:
                 # The loan was told of it, and brings it back.
                 task.retracted_crashes.add(incarnation)
@@ -139,9 +139,9 @@
             )
 
     def _on_end(self, executor: ExecutorState, now: float, proof: str, *, sure: bool) -> None:
-        attempts = list(executor.attempts.values()) or executor.lapsed
+        attempts = list(executor.attempts.values()) or executor.expired_attempts
         crashed_at = now if executor.silent_since is None else executor.silent_since
-        if executor.left:
+        if executor.left_as_planned:
             return
         fall = _fall(executor, crashed_at)
         beside = self._falls_beside(fall)
@@ -182,7 +182,7 @@
             for task in other.blamed_tasks:
                 if task.crash_history:
                     run = task.step.run
-                    self._state.touch(run)
+                    self._state.mark_dirty(run)
                     excused = clear_blame(task.crash_history, other.executor_id, run.version)
                     self._state.set_crash_history(task, excused)
             other.blamed_tasks.clear()
@@ -218,7 +218,7 @@
         if not crash.confirmed and not counts_unheard(attempt):
             return
         run = task.step.run
-        self._state.touch(run)
+        self._state.mark_dirty(run)
         known = add_crash(task.crash_history, crash, run.version, alone=alone)
         self._state.set_crash_history(task, replace(known, give_up_deferred=known.should_give_up))
 
@@ -311,7 +311,7 @@
 
 
 def _fall(executor: ExecutorState, by: float) -> ExecutorCrash:
-    heard_at = executor.clock.heard_at if executor.clock else NEVER
+    heard_at = executor.clock.observed_at if executor.clock else NEVER
     # Starts are answered, too, if not by whom.
     after = max([heard_at, *(a.confirmed_at for a in executor.attempts.values())])
     tried = any(attempt.isolated for attempt in executor.attempts.values())
--- a/src/linkspan/shard/reports/_ends.py
+++ b/src/linkspan/shard/reports/_ends.py
@@ -13,7 +13,7 @@
 from linkspan.shard.failures import FailedRun
 from linkspan.shard.job_run import INHERITED_RUN_GAP
 from linkspan.shard.messages import EndKind
-from linkspan.shard.orders._orders import LATE_START_S
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.planning._expected_durations import (
     REFRESH_EVERY,
     record_duration,
@@ -49,7 +49,7 @@
 
     def on_end(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
         """Act on an end; it is acknowledged once what follows from it is durable."""
-        executor.seen = end.number
+        executor.last_handled_end = end.number
         task = self._state.find_task(end.task)
         run = task.step.run if task else None
         attempt = executor.attempts.get((end.task, end.run))
@@ -63,8 +63,8 @@
         version = run.version if run else 0
         executor.unacked.append(UnackedEnd(end.number, run, version, held_until))
         if held_until > now:
-            executor.held.add(end.number)
-            self._state.holds += 1
+            executor.withheld_ends.add(end.number)
+            self._state.withheld_count += 1
 
     def _log_unknown(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
         """Tell of an end that is taken note of with nothing durable."""
@@ -79,7 +79,7 @@
             how=end.kind.value,
             shard=self._state.shard,
             token=self._state.token,
-            left=end.task.job_id in self._state.left,
+            left=end.task.job_id in self._state.departed_jobs,
             left_out=left_out,
         )
 
@@ -88,7 +88,7 @@
         task.next_run = max(task.next_run, end.run + 1)
         if attempt:
             self._state.detach(attempt)
-        if not (attempt and attempt.copy):
+        if not (attempt and attempt.speculative):
             task.save(end.run, end.checkpoint)
         if end.kind is EndKind.DONE:
             self._on_done(executor, task, attempt, now)
@@ -99,7 +99,7 @@
             self._state.log_run(Event.RUN_ENDED, executor.executor_id, end.task, end.run, how=how)
         if task.pending:
             self._state.mark_ready(task, now)
-        self._state.touch(task.step.run)
+        self._state.mark_dirty(task.step.run)
 
     def _on_done(
         self, executor: ExecutorState, task: Task, attempt: Attempt | None, now: float
@@ -107,7 +107,7 @@
         self._state.health.succeeded(executor.executor_id)
         if task.done:
             return
-        if attempt and attempt.confirmed_at > 0 and not attempt.found:
+        if attempt and attempt.confirmed_at > 0 and not attempt.recovered:
             # Of a run that was taken over only the rest was seen: its like would seem to straggle.
             self._note_duration(executor, task, attempt.worked_by(now), now)
         if task.step.spec.gang:
@@ -116,7 +116,7 @@
         else:
             self._mark_done(task, now)
         run = task.step.run
-        if task.step.left == 0:
+        if task.step.remaining_tasks == 0:
             self._note_length(task.step)
             self._state.open_steps(run, now)
         if run.done:
@@ -133,7 +133,7 @@
         if task.done:
             return
         task.done = True
-        task.step.left -= 1
+        task.step.remaining_tasks -= 1
         for other in task.attempts:
             # The run that ended is detached; a copy of it is no longer wanted.
             # Members of a gang end by themselves.
@@ -169,7 +169,7 @@
             self._state.count("failures_heard_again")
             self._log_failed(executor, end, event=Event.FAILURE_HEARD_AGAIN, **counts)
             return
-        task.avoid.add(executor.executor_id)
+        task.avoided_executors.add(executor.executor_id)
         self._log_failed(executor, end, **counts)
         self._note_health(executor, task, now)
         if job.used_up(failures):
@@ -192,7 +192,7 @@
         until = self._state.health.failed(executor.executor_id, job_id, now)
         if until is None:
             return
-        executor.distrusted_until = max(executor.distrusted_until, until)
+        executor.quarantined_until = max(executor.quarantined_until, until)
         self._state.log(
             Event.EXECUTOR_DISTRUSTED,
             executor=executor.executor_id,
@@ -208,13 +208,13 @@
     now: float,
 ) -> float:
     """Return until when a start of a run that ended may be on its way, in steady time."""
-    if end.number in executor.held:
+    if end.number in executor.withheld_ends:
         # A former owner held it, whose records of the run may be gone.
-        return now + LATE_START_S
+        return now + MAX_START_DELAY_S
     if attempt is None:
-        return now + LATE_START_S if task and _unrecorded(task, end.run) else NEVER
+        return now + MAX_START_DELAY_S if task and _unrecorded(task, end.run) else NEVER
     # Of several orders another one may still come; the only one was carried out.
-    return NEVER if attempt.sent_once else attempt.late_until
+    return NEVER if attempt.sent_once else attempt.start_may_arrive_until
 
 
 def _unrecorded(task: Task, run: int) -> bool:
--- a/src/linkspan/shard/reports/_presence.py
+++ b/src/linkspan/shard/reports/_liveness.py
@@ -8,7 +8,7 @@
 from linkspan.events import Event
 from linkspan.shard.executor import NEVER_LEAVES, ExecutorState
 from linkspan.shard.incarnation import Incarnation
-from linkspan.shard.reports._successions import unsure_since
+from linkspan.shard.reports._restarts import unsure_since
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -16,8 +16,8 @@
     from linkspan.shard._shard_state import ShardState
     from linkspan.shard.attempt import Attempt
     from linkspan.shard.messages import ExecutorRecord
-    from linkspan.shard.reports._crashes import Crashes
-    from linkspan.shard.reports._successions import Successions
+    from linkspan.shard.reports._crashes import CrashTracker
+    from linkspan.shard.reports._restarts import RestartTracker
     from linkspan.shard.shard_job import ShardJob
 
 
@@ -26,7 +26,7 @@
 entry is missing: after an outage of the store entries are back within about two seconds."""
 
 
-class Presence:
+class ExecutorLiveness:
     """Tells when what may run on an executor has surely ended.
 
     Args:
@@ -35,7 +35,9 @@
         successions: Keeps what may be at an executor's next life.
     """
 
-    def __init__(self, state: ShardState, crashes: Crashes, successions: Successions) -> None:
+    def __init__(
+        self, state: ShardState, crashes: CrashTracker, successions: RestartTracker
+    ) -> None:
         self._state = state
         self._crashes = crashes
         self._successions = successions
@@ -43,7 +45,7 @@
         self._roster_read = True
 
     def __repr__(self) -> str:
-        return f"Presence({self._state!r})"
+        return f"ExecutorLiveness({self._state!r})"
 
     def inherit(self, roster: Iterable[ExecutorRecord], until: float, *, read: bool = True) -> None:
         """Take over executors on which a former owner may have started work.
@@ -59,8 +61,8 @@
             executor = self._add_executor(record)
             executor.rostered = read
             executor.listed = False
-            executor.held.update(record.held)
-            self._state.adopting_ids.add(record.executor_id)
+            executor.withheld_ends.update(record.withheld_ends)
+            self._state.awaiting_report_ids.add(record.executor_id)
 
     def may_start(self, job: ShardJob, now: float) -> bool:
         """Whether no former owner's unrecorded run of a job can be alive, or have ended unseen.
@@ -72,7 +74,7 @@
             return True
         if not (self._roster_read or self._over(self._inherited_until, now)):
             return False
-        unanswered = map(self._state.executors.__getitem__, self._state.adopting_ids)
+        unanswered = map(self._state.executors.__getitem__, self._state.awaiting_report_ids)
         return all(self._lapsed(executor, now) for executor in unanswered)
 
     def list_executors(
@@ -96,9 +98,9 @@
             known.register(record)
             if executor_id in missing:
                 # The first time stands: an outage of the store moves the one that is told.
-                known.entry_went_at = min(missing[executor_id], known.entry_went_at)
+                known.entry_removed_at = min(missing[executor_id], known.entry_removed_at)
             else:
-                known.entry_went_at = NEVER_LEAVES
+                known.entry_removed_at = NEVER_LEAVES
             if record.draining and known.leaves_at == NEVER_LEAVES:
                 self._state.log(
                     Event.EXECUTOR_DRAINING, executor=executor_id, remaining_s=record.remaining_s
@@ -178,7 +180,7 @@
             return record
         incarnations = self._state.incarnations_by_id.get(record.executor_id, {})
         met = next(
-            (name for name, known in incarnations.items() if known.adopted), record.executor_id
+            (name for name, known in incarnations.items() if known.has_reported), record.executor_id
         )
         return replace(record, executor_id=met)
 
@@ -191,19 +193,19 @@
 
     def _held(self, executor: ExecutorState) -> bool:
         """Whether anything waits for what may run on an executor to be over."""
-        waited_for = executor.executor_id in self._state.adopting_ids
+        waited_for = executor.executor_id in self._state.awaiting_report_ids
         return waited_for or bool(executor.attempts) or not executor.listed
 
     def _lapsed(self, executor: ExecutorState, now: float) -> bool:
         """Whether all leases there have ended, whoever granted them."""
         clock = executor.clock
         if clock:
-            return self._over(clock.lapsed_by(), now)
-        return self._over(max(self._inherited_until, executor.lapses_at), now)
+            return self._over(clock.leases_expired_at(), now)
+        return self._over(max(self._inherited_until, executor.leases_expire_at), now)
 
     def _over(self, ended_at: float, now: float) -> bool:
         """Whether a lease is over that ends at a steady time, and that no later owner renewed."""
-        return ended_at <= min(now, self._state.sole_until)
+        return ended_at <= min(now, self._state.sole_owner_until)
 
     def _on_lapsed(self, executor: ExecutorState, now: float) -> None:
         if executor.attempts:
@@ -214,11 +216,11 @@
                 silent_s=round(now - (executor.silent_since or now), 2),
             )
             # A cut looks like a crash until the incarnation is known to be gone.
-            executor.lapsed = list(executor.attempts.values())
+            executor.expired_attempts = list(executor.attempts.values())
         if not executor.listed and not executor.is_placeholder:
             self._crashes.on_lost(executor, now)
         self._release(executor, now)
-        self._state.settle(executor.executor_id, "lapsed")
+        self._state.resolve_inherited(executor.executor_id, "lapsed")
         if not executor.listed:
             self._state.remove_executor(executor.executor_id)
 
--- a/src/linkspan/shard/reports/_adoption.py
+++ b/src/linkspan/shard/reports/_reconciliation.py
@@ -8,21 +8,21 @@
 from linkspan.shard.attempt import NEVER, Attempt, Phase
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.messages import StopOrder
-from linkspan.shard.orders._orders import LATE_START_S
-from linkspan.shard.reports._successions import answering
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
+from linkspan.shard.reports._restarts import answering
 
 if TYPE_CHECKING:
     from linkspan.shard._shard_state import ShardState
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import ExecutorReport, RunningTask, TaskName
-    from linkspan.shard.reports._crashes import Crashes
+    from linkspan.shard.reports._crashes import CrashTracker
     from linkspan.shard.reports._ends import Ends
-    from linkspan.shard.reports._presence import Presence
-    from linkspan.shard.reports._successions import Successions
+    from linkspan.shard.reports._liveness import ExecutorLiveness
+    from linkspan.shard.reports._restarts import RestartTracker
     from linkspan.shard.task import Task
 
 
-class Adoption:
+class ReportReconciler:
     """Compares what executors report with what this tenure believes.
 
     Args:
@@ -37,9 +37,9 @@
         self,
         state: ShardState,
         ends: Ends,
-        presence: Presence,
-        successions: Successions,
-        crashes: Crashes,
+        presence: ExecutorLiveness,
+        successions: RestartTracker,
+        crashes: CrashTracker,
     ) -> None:
         self._state = state
         self._ends = ends
@@ -49,7 +49,7 @@
         self._awaited: dict[Attempt, None] = {}
 
     def __repr__(self) -> str:
-        return f"Adoption({self._state!r})"
+        return f"ReportReconciler({self._state!r})"
 
     def on_report(
         self, executor_id: str, report: ExecutorReport, *, asked: float, now: float
@@ -65,26 +65,26 @@
         if executor.clock is None:
             # Taken for lost, by this owner or a former one, it was only cut off.
             self._crashes.retract(executor.executor_id, "it answers")
-        self._state.hear(executor, report.clock_s, now)
+        self._state.record_contact(executor, report.clock_s, now)
         executor.reported_s = report.clock_s
         executor.reported_at = now
         for end in report.ended:
-            if end.number > executor.seen:
+            if end.number > executor.last_handled_end:
                 self._ends.on_end(executor, end, now)
         listed = set()
-        executor.unknown_runs = not report.whole
+        executor.unknown_runs = not report.is_complete
         for row in report.running:
             listed.add((row.task, row.run))
             self._on_running(executor, row, now)
-        if not report.whole:
+        if not report.is_complete:
             # What it leaves out may be the end of a run: nothing is missing yet.
             return
         self._on_missing(executor, listed, asked, now)
-        if not executor.adopted:
-            executor.adopted = True
+        if not executor.has_reported:
+            executor.has_reported = True
             # What a former owner held and let go since is not listed any more.
-            executor.held.intersection_update(end.number for end in report.ended)
-            self._state.settle(executor.executor_id, "answered")
+            executor.withheld_ends.intersection_update(end.number for end in report.ended)
+            self._state.resolve_inherited(executor.executor_id, "answered")
             self.tick(now)
 
     def tick(self, now: float) -> None:
@@ -111,12 +111,12 @@
             return
         attempt.listed = True
         attempt.carried_over = False
-        if attempt.sent_once and attempt.late_until != NEVER:
+        if attempt.sent_once and attempt.start_may_arrive_until != NEVER:
             # The only order for it was carried out.
-            attempt.late_until = NEVER
-            self._state.touch(attempt.task.step.run)
+            attempt.start_may_arrive_until = NEVER
+            self._state.mark_dirty(attempt.task.step.run)
         if attempt.phase is Phase.INHERITED:
-            attempt.pace_known = False
+            attempt.pace_confirmed = False
         if attempt.phase is not Phase.STOPPING:
             if attempt.phase is not Phase.RUNNING:
                 attempt.confirmed_at = now
@@ -125,7 +125,7 @@
             attempt.progress = row.progress
             attempt.progress_at = now
         attempt.usage = row.usage
-        if not attempt.copy:
+        if not attempt.speculative:
             attempt.task.save(row.run, row.checkpoint)
 
     def _adopt(self, executor: ExecutorState, row: RunningTask, now: float) -> Attempt | None:
@@ -139,10 +139,12 @@
             self._state.orders.append(StopOrder(executor.executor_id, row.task, row.run))
             self._log_unknown(executor, row)
             return None
-        attempt = Attempt(task, row.run, executor.executor_id, Phase.RUNNING, now, now, found=True)
+        attempt = Attempt(
+            task, row.run, executor.executor_id, Phase.RUNNING, now, now, recovered=True
+        )
         # Its former owner may have slowed it down, and sent a second start that is on its way.
-        attempt.pace_known = False
-        attempt.late_until = now + LATE_START_S
+        attempt.pace_confirmed = False
+        attempt.start_may_arrive_until = now + MAX_START_DELAY_S
         task.next_run = max(task.next_run, row.run + 1)
         if self._wanted(task, row.run):
             for older in list(task.attempts):
@@ -153,7 +155,7 @@
             self._log_unknown(executor, row)
             self._state.attach(executor, attempt)
             self._state.order_stop(attempt, now)
-        self._state.touch(task.step.run)
+        self._state.mark_dirty(task.step.run)
         return attempt
 
     def _wanted(self, task: Task, run: int) -> bool:
@@ -196,7 +198,7 @@
         That life refuses it. The next one under its id knows of no stop, and may get the start.
         """
         may_come_again = Incarnation.of(attempt.executor_id).started_at_ms is not None
-        if not may_come_again or attempt.late_until <= now:
+        if not may_come_again or attempt.start_may_arrive_until <= now:
             self._state.close(attempt, now)
 
     def _on_former_start(self, attempt: Attempt, now: float) -> None:
@@ -210,7 +212,7 @@
             return
         if attempt.phase is not Phase.INHERITED:
             return
-        if attempt.late_until <= now:
+        if attempt.start_may_arrive_until <= now:
             self._state.close(attempt, now)
         elif self._presence.may_start(attempt.task.step.run.job, now):
             attempt.phase = Phase.DOUBT
--- a/src/linkspan/shard/reports/_successions.py
+++ b/src/linkspan/shard/reports/_restarts.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from linkspan.shard._shard_state import ShardState
     from linkspan.shard.messages import ExecutorReport
-    from linkspan.shard.reports._crashes import Crashes
+    from linkspan.shard.reports._crashes import CrashTracker
 
 ANSWERED_PROOF = "its next life answers"
 """What proves a life over whose id another one answers under."""
@@ -24,7 +24,7 @@
 """Lines a second on reports that are passed over; an executor is asked some ten times a second."""
 
 
-class Successions:
+class RestartTracker:
     """Ends lives whose id another one answers under, and keeps what may be at the next one.
 
     Births only tell lives apart. Which of two is the newer is told by which request was sent
@@ -35,14 +35,14 @@
         crashes: Counts crashes.
     """
 
-    def __init__(self, state: ShardState, crashes: Crashes) -> None:
+    def __init__(self, state: ShardState, crashes: CrashTracker) -> None:
         self._state = state
         self._crashes = crashes
         self._over: dict[str, float] = {}
         self._passed_over = LogRateLimiter(MOST_PASSED_OVER_PER_S)
 
     def __repr__(self) -> str:
-        return f"Successions({len(self._over)} lives over)"
+        return f"RestartTracker({len(self._over)} lives over)"
 
     def is_over(self, executor_id: str) -> bool:
         """Whether a life is known to be over."""
@@ -53,7 +53,7 @@
         self._state.remove_executor(executor.executor_id)
         if not executor.is_placeholder:
             self._over[executor.executor_id] = now
-        self._state.settle(executor.executor_id, "gone")
+        self._state.resolve_inherited(executor.executor_id, "gone")
         self._state.health.forget(executor.executor_id)
 
     def meet(
@@ -102,7 +102,7 @@
         if waiting is None:
             waiting = self._begin(executor, name, is_placeholder=True)
         lapses_at = next_incarnation_lease_expiry(now, self._state.bounds.max_lease_s)
-        waiting.lapses_at = max(lapses_at, *(a.late_until for a in unsure))
+        waiting.leases_expire_at = max(lapses_at, *(a.start_may_arrive_until for a in unsure))
         for attempt in unsure:
             self._move(attempt, executor, waiting, now)
 
@@ -148,7 +148,7 @@
         unsure = [
             a
             for a in former.attempts.values()
-            if a.unanswered or a.late_until > now or _may_be_unlisted(a, report, asked)
+            if a.unanswered or a.start_may_arrive_until > now or _may_be_unlisted(a, report, asked)
         ]
         for attempt in unsure:
             self._move(attempt, former, executor, now)
@@ -176,10 +176,10 @@
         attempt.executor_id = executor.executor_id
         attempt.listed = False
         attempt.carried_over = True
-        attempt.pace_known = False
+        attempt.pace_confirmed = False
         attempt.stop_taken_at = None
         executor.add(attempt)
-        if attempt.late_until > now and attempt.phase is Phase.RUNNING:
+        if attempt.start_may_arrive_until > now and attempt.phase is Phase.RUNNING:
             # It ended with the life that it ran on, and an order for it may come to this one.
             attempt.phase = Phase.DOUBT
         elif attempt.phase is Phase.STOPPING:
@@ -207,7 +207,7 @@
         a
         for a in executor.attempts.values()
         if a.unanswered
-        or a.late_until > since
+        or a.start_may_arrive_until > since
         or (not a.listed and a.confirmed_at >= since)
         # A life that nobody met has not seen our token, which a former owner's start is refused by.
         or (executor.is_placeholder and a.phase is Phase.INHERITED)
@@ -227,4 +227,4 @@
     """Whether a next life may have a run that its report leaves out."""
     if attempt.listed:
         return False
-    return not report.whole or attempt.confirmed_at >= asked
+    return not report.is_complete or attempt.confirmed_at >= asked
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -11,7 +11,7 @@
 from linkspan.shard.attempt import Phase
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.machines import MachineWatch
-from linkspan.shard.reports._successions import answering
+from linkspan.shard.reports._restarts import answering
 
 if TYPE_CHECKING:
     from linkspan.shard._context import TenureContext
@@ -73,7 +73,7 @@
     stand-still of this host or a claim an executor is asked first which life it is.
     """
     fresh = executor.silent_since is None and now - executor.answered_at <= ACKNOWLEDGE_WITHIN_S
-    if not (fresh and executor.untold):
+    if not (fresh and executor.ack_pending):
         return 0
     if any(_may_come_and_end(attempt, now) for attempt in executor.attempts.values()):
         return 0
@@ -84,7 +84,7 @@
     """Whether a start is on its way whose run may have ended where the next look comes to."""
     if attempt.phase is Phase.STARTING:
         return True
-    on_its_way = attempt.unanswered or attempt.late_until > now
+    on_its_way = attempt.unanswered or attempt.start_may_arrive_until > now
     return on_its_way and attempt.task.step.expected_s < ENDS_SOON_S
 
 
@@ -137,7 +137,7 @@
         if watcher:
             watcher.cancel()
 
-    async def look_once(self, executor: ExecutorState) -> None:
+    async def poll_once(self, executor: ExecutorState) -> None:
         """Ask an executor for its report now."""
         await self._look(executor, 0.0)
 
@@ -171,10 +171,10 @@
     async def _watch(self, executor: ExecutorState) -> None:
         pause = RETRY_S
         while self._core.executors.get(executor.executor_id) is executor:
-            tells = executor.untold
+            tells = executor.ack_pending
             if await self._look(executor, self._wait_for(executor)):
                 pause = RETRY_S
-                if not tells or executor.untold or executor.unacked:
+                if not tells or executor.ack_pending or executor.unacked:
                     await self._settle(executor)
             else:
                 await asyncio.sleep(pause)
@@ -186,9 +186,9 @@
             self.watch_all()
 
     def _wait_for(self, executor: ExecutorState) -> float:
-        if not executor.adopted or executor.silent_since is not None:
+        if not executor.has_reported or executor.silent_since is not None:
             return 0.0
-        if executor.unacked or executor.untold:
+        if executor.unacked or executor.ack_pending:
             # A look that tells an executor to forget ends may come to its next life. Where it
             # waited there, it would forget ends that nobody has read.
             return 0.0
@@ -227,9 +227,9 @@
             self._core.on_incarnation_found(executor.executor_id, name, asked=asked, now=steady())
             self._follow_lives()
             return False
-        executor.forgotten = max(executor.forgotten, acknowledged)
+        executor.ack_delivered = max(executor.ack_delivered, acknowledged)
         executor.answered_at = steady()
-        report = await self._known_part(report, first=not self._core.adopted(name))
+        report = await self._known_part(report, first=not self._core.has_reported(name))
         now = steady()
         self._count_ends(name, report)
         self._core.on_report(executor.executor_id, report, asked=asked, now=now)
@@ -261,7 +261,7 @@
 
     def _count_ends(self, executor_id: str, report: ExecutorReport) -> None:
         executor = self._core.executors.get(executor_id)
-        seen = executor.seen if executor else 0
+        seen = executor.last_handled_end if executor else 0
         for end in report.ended:
             if end.number > seen:
                 self._metrics.count("ends", how=end.kind.value)
@@ -271,7 +271,7 @@
         await asyncio.sleep(GATHER_S)
         executor.advance_acknowledged(steady())
         waited = GATHER_S
-        while executor.unacked and waited < MAX_RETRY_S and not executor.holds_end(steady()):
+        while executor.unacked and waited < MAX_RETRY_S and not executor.withholds_end(steady()):
             await asyncio.sleep(GATHER_S / 2)
             waited += GATHER_S / 2
             executor.advance_acknowledged(steady())
--- a/src/linkspan/shard/step_run.py
+++ b/src/linkspan/shard/step_run.py
@@ -22,7 +22,7 @@
         index: Number of the step.
         spec: What the caller asked for.
         tasks: Its tasks.
-        left: Tasks that are not done.
+        remaining_tasks: Tasks that are not done.
         durations: Running times at full speed of tasks that are done, in seconds.
     """
 
@@ -30,7 +30,7 @@
     index: int
     spec: StepSpec
     tasks: list[Task] = field(default_factory=list)
-    left: int = 0
+    remaining_tasks: int = 0
     durations: list[float] = field(default_factory=list)
     _median_s: float = 0.0
     _median_of: int = 0
@@ -97,5 +97,5 @@
     def open(self) -> bool:
         """Whether all steps that it depends on are done."""
         return self.run.released and all(
-            self.run.steps[index].left == 0 for index in self.spec.depends_on
+            self.run.steps[index].remaining_tasks == 0 for index in self.spec.depends_on
         )
--- a/src/linkspan/shard/task.py
+++ b/src/linkspan/shard/task.py
@@ -31,7 +31,7 @@
         checkpoint: Where the next run resumes.
         saved_by: Number of the run that saved that, as far as this owner heard.
         attempts: Its attempts that may be running.
-        avoid: Executors on which it failed or stood still.
+        avoided_executors: Executors on which it failed or stood still.
         crash_history: What crashes of its executors say against it, ``None`` for nothing.
         retracted_crashes: Lives whose end turned out to be no crash while another shard looks after
             it.
@@ -53,7 +53,7 @@
     checkpoint: str = ""
     saved_by: int = 0
     attempts: list[Attempt] = field(default_factory=list)
-    avoid: set[str] = field(default_factory=set)
+    avoided_executors: set[str] = field(default_factory=set)
     crash_history: CrashHistory | None = None
     retracted_crashes: set[str] = field(default_factory=set)
     not_before: float = NEVER
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -112,7 +112,7 @@
         self._proof = OwnershipProof(
             shard, claim.sent_at, freeze_s=settings.bounds.freeze_s, log=log
         )
-        core.sole_until = self._proof.sole_until
+        core.sole_owner_until = self._proof.sole_owner_until
         context = TenureContext(
             shard=shard,
             token=owner.token,
@@ -160,7 +160,7 @@
         """
         self._proof.proved(at)
         self._core.tokens.allow(token_limit)
-        self._core.sole_until = self._proof.sole_until
+        self._core.sole_owner_until = self._proof.sole_owner_until
 
     def may_act(self, now: float) -> bool:
         """Whether orders may go out.
--- a/src/linkspan/store/follower.py
+++ b/src/linkspan/store/follower.py
@@ -95,7 +95,7 @@
         return self._synced_at
 
     @property
-    def heard_at(self) -> float:
+    def last_response_at(self) -> float:
         """Steady time of the store's last answer."""
         return self._heard_at
 
--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -20,7 +20,7 @@
     best, best_score = None, float("inf")
     fill = placement._may_fill(task)
     for executor in placement.executors:
-        if executor.executor_id in task.avoid:
+        if executor.executor_id in task.avoided_executors:
             continue
         if placement.reason_against(executor, fill=fill, starved=starved) is not None:
             continue
--- a/tests/host/test_first_lease.py
+++ b/tests/host/test_first_lease.py
@@ -93,7 +93,7 @@
     """Whether a host owns the shard and has an executor's first report."""
     tenure = world.hosts[host].host.candidates[0].tenure
     known = tenure.core.executors.get(busy.incarnation_name) if tenure else None
-    return bool(known and known.adopted)
+    return bool(known and known.has_reported)
 
 
 async def _keep_from(world: HallWorld, host: str, busy: MemoryExecutor, silent: bool) -> None:
--- a/tests/host/test_held_ends_on_record.py
+++ b/tests/host/test_held_ends_on_record.py
@@ -32,7 +32,9 @@
         producer: Producer | None,
     ) -> Appended:
         for record in records:
-            if record.key == ROSTER_KEY and any(e.held for e in decode_roster(record.value)):
+            if record.key == ROSTER_KEY and any(
+                e.withheld_ends for e in decode_roster(record.value)
+            ):
                 self.written.append("held")
             elif partition == JOBS and record.key.startswith(b"f:") and record.value:
                 self.written.append("over")
--- a/tests/host/test_moves_without_end.py
+++ b/tests/host/test_moves_without_end.py
@@ -55,7 +55,7 @@
     row = RunningTask(name, 1, "", 50, None)
     core.on_report("e0", ExecutorReport(5.0, (row,), ()), asked=5.0, now=5.0)
     (attempt,) = core.find_task(name).attempts  # type: ignore[union-attr]
-    assert attempt.found
+    assert attempt.recovered
     report(core, "e0", EndedTask(1, name, 1, EndKind.DONE, ""), asked=5.2, now=5.2)
     assert attempt.task.done
     assert attempt.task.step.durations == []
--- a/tests/host/test_partial_reports.py
+++ b/tests/host/test_partial_reports.py
@@ -88,7 +88,7 @@
 def _heard(world: HallWorld, host: str) -> int:
     """Return how many executors an owner has heard of in full."""
     tenure = world.hosts[host].host.candidates[0].tenure
-    return sum(e.adopted for e in tenure.core.executors.values()) if tenure else 0
+    return sum(e.has_reported for e in tenure.core.executors.values()) if tenure else 0
 
 
 async def _until(happens: Callable[[], bool]) -> None:
--- a/tests/host/wide_day.py
+++ b/tests/host/wide_day.py
@@ -265,7 +265,7 @@
     def _hears(self, name: str) -> bool:
         """Whether a host owns a shard and has heard of an executor there."""
         tenures = [c.tenure for c in self.world.hosts[name].host.candidates if c.tenure]
-        return any(e.adopted for t in tenures for e in t.core.executors.values())
+        return any(e.has_reported for t in tenures for e in t.core.executors.values())
 
     def _owners(self) -> set[str]:
         """Return the hosts that own a shard, as they know."""
--- a/tests/platform/test_executor_client.py
+++ b/tests/platform/test_executor_client.py
@@ -130,4 +130,4 @@
     report = await setup.client.renew(
         setup.address, "i-1", acknowledged=0, until_s=None, wait_s=0.0
     )
-    assert report.whole is whole
+    assert report.is_complete is whole
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -234,7 +234,7 @@
     """
     core = core_with(step(1, standing=True), executors=0)
     run = run_on(core, "e0@1", 2.0)
-    run.found = True
+    run.recovered = True
     row = RunningTask(run.task.name, run.run, "", 100, None)
     core.on_report("e0@1", ExecutorReport(3.0, (row,), (), started_at_ms=1), asked=3.0, now=3.0)
     fall(core, "e0@1", 4.0, 4.1)
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -11,7 +11,7 @@
 from linkspan.shard._shard_state import MOST_STARTS
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.core import ShardCore
-from linkspan.shard.executor import MOST_HELD_ENDS, UnackedEnd
+from linkspan.shard.executor import MAX_ENDS_BEHIND_WITHHELD, UnackedEnd
 from linkspan.shard.messages import (
     EndedTask,
     EndKind,
@@ -24,7 +24,7 @@
     StopOrder,
     TaskName,
 )
-from linkspan.shard.orders._orders import LATE_START_S
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.planning.placement import AVOID_S
 from linkspan.shard.recovery.progress import encode_run
 from tests.job_builders import QUEUE, step
@@ -132,8 +132,8 @@
     run = core.jobs[JOB].runs[0]
     run.durable = run.version
     executor = core.executors[order.executor_id]
-    assert not executor.advance_acknowledged(1.1 + LATE_START_S - 0.01)
-    assert executor.advance_acknowledged(1.1 + LATE_START_S)
+    assert not executor.advance_acknowledged(1.1 + MAX_START_DELAY_S - 0.01)
+    assert executor.advance_acknowledged(1.1 + MAX_START_DELAY_S)
 
 
 def test_no_end_is_held_that_would_hide_later_ones() -> None:
@@ -141,11 +141,11 @@
     core = core_with(step(1))
     executor = core.executors["e0"]
     executor.unacked.extend(
-        UnackedEnd(number, None, 0, 99.0) for number in range(1, MOST_HELD_ENDS + 2)
+        UnackedEnd(number, None, 0, 99.0) for number in range(1, MAX_ENDS_BEHIND_WITHHELD + 2)
     )
     assert executor.advance_acknowledged(1.0)
     assert executor.acknowledged == 1
-    assert len(executor.unacked) == MOST_HELD_ENDS
+    assert len(executor.unacked) == MAX_ENDS_BEHIND_WITHHELD
 
 
 def test_an_end_is_not_held_where_the_only_order_for_its_run_was_carried_out() -> None:
@@ -228,7 +228,7 @@
         (order,) = plan(core, now + 0.1)
         started(core, order, now + 0.2)
         executor = core.executors[order.executor_id]
-        end = EndedTask(executor.seen + 1, order.task, order.run, EndKind.FAILED, "")
+        end = EndedTask(executor.last_handled_end + 1, order.task, order.run, EndKind.FAILED, "")
         report(core, order.executor_id, end, asked=now + 0.3, now=now + 0.4)
     assert [f.state.value for f in core.finished] == ["failed"]
     assert plan(core, 9.0) == []
@@ -378,11 +378,11 @@
         mine = part if name == order.executor_id else ExecutorReport(1.0, (), ())
         heir.on_report(name, mine, asked=1.0, now=1.1)
     assert plan(heir, 1.2) == []
-    assert heir.adopting
+    assert heir.awaiting_reports
     heir.on_report(order.executor_id, replace(whole, clock_s=2.0), asked=2.0, now=2.1)
     assert plan(heir, 2.2) == []
     assert [f.job_id for f in heir.finished] == [JOB]
-    assert not heir.adopting
+    assert not heir.awaiting_reports
 
 
 def test_a_report_in_part_leaves_inherited_work_in_doubt() -> None:
@@ -393,8 +393,8 @@
     heir.inherit([record], until=20.0)
     heir.list_executors([record], 1.0)
     heir.add_job(submitted(step(1)), 1.0, inherited=True)
-    part = ExecutorReport(1.0, (), (), whole=False)
+    part = ExecutorReport(1.0, (), (), is_complete=False)
     heir.on_report("e0", part, asked=1.0, now=1.1)
     assert plan(heir, 1.2) == []
-    heir.on_report("e0", replace(part, whole=True, clock_s=2.0), asked=2.0, now=2.1)
+    heir.on_report("e0", replace(part, is_complete=True, clock_s=2.0), asked=2.0, now=2.1)
     assert [order.run for order in plan(heir, 2.2)] == [16]
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -101,7 +101,7 @@
     core = core_with(step(1), executors=2)
     (task,) = core.jobs[JOB].runs[0].tasks()
     core.set_crash_history(task, CrashHistory(1, 4))
-    task.avoid |= {"e0", "e1"}
+    task.avoided_executors |= {"e0", "e1"}
     assert plan(core, 3.5)
 
 
--- a/tests/shard/test_crashes_that_were_none.py
+++ b/tests/shard/test_crashes_that_were_none.py
@@ -67,7 +67,7 @@
     empty(core, "life-16@1", 2, asked=59.63, now=59.64)
     (unsure,) = only_task(core).attempts
     assert (unsure.run, unsure.executor_id) == (run, "life-16@2")
-    unsure.late_until = 72.16
+    unsure.start_may_arrive_until = 72.16
     core.order_stop(unsure, 60.2)
     stop = next(order for order in core.orders if isinstance(order, StopOrder))
     core.on_stopped(stop, True, 60.3)
--- a/tests/shard/test_inherited_leases.py
+++ b/tests/shard/test_inherited_leases.py
@@ -41,7 +41,7 @@
     """Return a core that took over two executors and a job of one task."""
     core = core_with(step(1), executors=0)
     core.remove_moved(JOB)
-    core.left.clear()
+    core.departed_jobs.clear()
     core.inherit([record(name, cpu) for name in ("e0", "e1")], until=UNTIL)
     core.list_executors([record(name, cpu) for name in ("e0", "e1")], 0.0)
     core.add_job(submitted(step(1)), 0.0, inherited=True)
--- a/tests/shard/test_leases.py
+++ b/tests/shard/test_leases.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linkspan.shard.leases import CLOCK_DRIFT, LeaseClock, inherited_lapse
+from linkspan.shard.leases import CLOCK_DRIFT, LeaseClock, inherited_lease_expiry
 
 times = st.floats(0, 100)
 
@@ -28,7 +28,7 @@
 
     lease = LeaseClock(clock_at(heard), heard + delay, clock_at(heard))
     lease.grant(lease_s, heard + delay + later)
-    lapsed = lease.lapsed_by()
+    lapsed = lease.leases_expired_at()
     assert clock_at(lapsed) >= lease.granted_s
 
 
@@ -42,4 +42,4 @@
 
 
 def test_an_inherited_lease_is_waited_out_with_its_owner() -> None:
-    assert inherited_lapse(100.0, 10.0, 9.8) >= 100.0 + 10.0 + 9.8 / 0.98
+    assert inherited_lease_expiry(100.0, 10.0, 9.8) >= 100.0 + 10.0 + 9.8 / 0.98
--- a/tests/shard/test_lengths.py
+++ b/tests/shard/test_lengths.py
@@ -95,7 +95,7 @@
     assert urgency(small.steps[0], 0.1) < urgency(large.steps[0], 0.1)
     for task in large.steps[0].tasks[:3]:
         task.done = True
-        large.steps[0].left -= 1
+        large.steps[0].remaining_tasks -= 1
     assert urgency(large.steps[0], 0.1) < urgency(small.steps[0], 0.1)
 
 
--- a/tests/shard/test_lives.py
+++ b/tests/shard/test_lives.py
@@ -25,7 +25,7 @@
     StopOrder,
     TaskName,
 )
-from linkspan.shard.orders._orders import LATE_START_S
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.recovery.progress import (
     decode_roster,
     encode_roster,
@@ -107,7 +107,7 @@
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 1.01)
-    core.executors[FIRST].seen = 57
+    core.executors[FIRST].last_handled_end = 57
     _restarted(core, ended=(EndedTask(1, TASK, 1, EndKind.DONE, ""),))
     assert [f.job_id for f in core.finished] == [JOB]
 
@@ -229,20 +229,20 @@
     _report(core, SECOND, SECOND, asked=2.1, now=2.2, clock_s=0.3, ended=(end,))
     task = core.find_task(name)
     assert task and task.done
-    assert core.executors[SECOND].seen == 1
+    assert core.executors[SECOND].last_handled_end == 1
 
 
 def test_nothing_is_known_of_a_life_by_the_one_before() -> None:
     core = _core()
     former = core.executors[FIRST]
-    former.acknowledged = former.seen = 57
-    former.distrusted_until = 1e9
+    former.acknowledged = former.last_handled_end = 57
+    former.quarantined_until = 1e9
     core.health.failed(FIRST, "a", 1.0)
     core.health.failed(FIRST, "b", 1.0)
     _restarted(core, clock_s=0.1)
     known = core.executors[SECOND]
-    assert (known.acknowledged, known.seen) == (0, 0)
-    assert known.distrusted_until < 0
+    assert (known.acknowledged, known.last_handled_end) == (0, 0)
+    assert known.quarantined_until < 0
     assert known.clock and known.clock.granted_s == pytest.approx(0.1 + LONG_LEASE_S)
 
 
@@ -275,7 +275,7 @@
 def test_ends_that_were_forgotten_are_not_told_again() -> None:
     executor = _core().executors[FIRST]
     _heard(executor, 1.0)
-    executor.forgotten = 5
+    executor.ack_delivered = 5
     assert acknowledges(executor, 1.1) == 0
 
 
@@ -329,7 +329,7 @@
     core.on_start_unanswered(order, 1.5)
     add_executor(core, "e1@5")
     _gone(core, since=2.0, now=2.5)
-    over = max(next_incarnation_lease_expiry(2.5, LONG_LEASE_S), 1.5 + LATE_START_S)
+    over = max(next_incarnation_lease_expiry(2.5, LONG_LEASE_S), 1.5 + MAX_START_DELAY_S)
     core.on_silent("e0", over - 0.01)
     assert _replan(core, over - 0.01) == []
     core.on_silent("e0", over)
--- a/tests/shard/test_predecessor_at_address.py
+++ b/tests/shard/test_predecessor_at_address.py
@@ -30,14 +30,14 @@
 def test_an_inherited_executor_is_not_gone_by_the_entry_of_its_predecessor() -> None:
     core = core_with(step(1), executors=0)
     core.remove_moved(JOB)
-    core.left.clear()
+    core.departed_jobs.clear()
     add_executor(core, "idle")
     idle = core.executors["idle"].record
     core.inherit([at_one_address("second")], until=UNTIL)
     core.list_executors([idle, at_one_address("first")], 0.0)
     core.add_job(submitted(step(1)), 0.0, inherited=True)
     report(core, "idle", asked=0.1, now=0.1)
-    assert "second" in core.adopting_ids
+    assert "second" in core.awaiting_report_ids
     assert plan(core, 0.2) == []
 
 
--- a/tests/shard/test_starts_of_former_owners.py
+++ b/tests/shard/test_starts_of_former_owners.py
@@ -18,7 +18,7 @@
     StopOrder,
     TaskName,
 )
-from linkspan.shard.orders._orders import LATE_START_S
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.recovery.progress import decode_roster, encode_roster, encode_run
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan, started, submitted
@@ -115,8 +115,8 @@
     if listed:
         _report(core, asked=3.1, listed=True)
     _report(core, DONE, asked=3.2)
-    assert not _acknowledges(core, RECOVERED_AT + LATE_START_S - 0.01)
-    assert _acknowledges(core, RECOVERED_AT + LATE_START_S)
+    assert not _acknowledges(core, RECOVERED_AT + MAX_START_DELAY_S - 0.01)
+    assert _acknowledges(core, RECOVERED_AT + MAX_START_DELAY_S)
 
 
 @pytest.mark.parametrize("listed", [True, False])
@@ -126,8 +126,8 @@
     if listed:
         _report(heir, asked=3.1, listed=True)
     _report(heir, DONE, asked=3.2)
-    assert not _acknowledges(heir, RECOVERED_AT + LATE_START_S - 0.01)
-    assert _acknowledges(heir, RECOVERED_AT + LATE_START_S)
+    assert not _acknowledges(heir, RECOVERED_AT + MAX_START_DELAY_S - 0.01)
+    assert _acknowledges(heir, RECOVERED_AT + MAX_START_DELAY_S)
 
 
 @pytest.mark.parametrize("listed", [True, False])
@@ -198,7 +198,7 @@
     (attempt,) = heir.jobs[JOB].runs[0].steps[0].tasks[0].attempts
     assert (attempt.phase, attempt.starts) == (Phase.STARTING, 2)
     _report(heir, DONE, asked=3.5)
-    assert not _acknowledges(heir, RECOVERED_AT + LATE_START_S - 0.01)
+    assert not _acknowledges(heir, RECOVERED_AT + MAX_START_DELAY_S - 0.01)
 
 
 def test_a_start_of_a_former_owner_goes_on_at_the_next_life() -> None:
@@ -231,7 +231,7 @@
 def test_a_start_of_a_former_owner_is_given_up_when_it_cannot_come_any_more() -> None:
     heir = _left_unanswered(OTHER)
     _report(heir, asked=3.1)
-    heir.tick(RECOVERED_AT + LATE_START_S)
+    heir.tick(RECOVERED_AT + MAX_START_DELAY_S)
     assert (heir.orders, heir.executors[FIRST].attempts) == ([], {})
 
 
@@ -257,7 +257,7 @@
     core = _core(OTHER)
     plan(core, 1.0)
     (task,) = core.jobs[JOB].runs[0].tasks()
-    core.place(task, core.executors[OTHER], 1.1, copy=True)
+    core.place(task, core.executors[OTHER], 1.1, speculative=True)
     heir = _heir(core)
     _report(heir, asked=3.1)
     _report(heir, asked=3.2, incarnation=OTHER)
@@ -274,7 +274,7 @@
     (order,) = _starts(core)
     started(core, order, 2.2)
     _report(core, DONE, asked=2.5)
-    assert core.executors[FIRST].held == {1}
+    assert core.executors[FIRST].withheld_ends == {1}
     assert not _acknowledges(core, 2.6)
 
 
@@ -291,9 +291,9 @@
     for _ in range(owners):
         core = _heir(core)
     _report(core, DONE, asked=3.2)
-    assert not _acknowledges(core, 3.2 + LATE_START_S - 0.01)
-    assert _acknowledges(core, 3.2 + LATE_START_S)
-    assert core.executors[FIRST].held == set()
+    assert not _acknowledges(core, 3.2 + MAX_START_DELAY_S - 0.01)
+    assert _acknowledges(core, 3.2 + MAX_START_DELAY_S)
+    assert core.executors[FIRST].withheld_ends == set()
 
 
 def test_an_end_that_was_held_back_until_it_was_acknowledged_is_no_longer_on_record() -> None:
@@ -301,7 +301,7 @@
     _holds(core)
     heir = _heir(core)
     _report(heir, asked=3.1)
-    assert heir.executors[FIRST].on_roster.held == ()
+    assert heir.executors[FIRST].on_roster.withheld_ends == ()
 
 
 def test_ends_of_the_next_life_are_not_held_for_the_one_before() -> None:
@@ -322,7 +322,7 @@
     (row,) = orjson.loads(roster)
     assert row[7:] == [1_000, [1]]
     (record,) = decode_roster(roster)
-    assert (record.executor_id, record.held, record.is_placeholder) == (FIRST, (1,), False)
+    assert (record.executor_id, record.withheld_ends, record.is_placeholder) == (FIRST, (1,), False)
 
 
 # Runs that no record names
@@ -335,8 +335,8 @@
     if listed:
         _report(heir, asked=3.1, listed=True)
     _report(heir, DONE, asked=3.1)
-    assert not _acknowledges(heir, 3.1 + LATE_START_S - 0.01)
-    assert _acknowledges(heir, 3.1 + LATE_START_S)
+    assert not _acknowledges(heir, 3.1 + MAX_START_DELAY_S - 0.01)
+    assert _acknowledges(heir, 3.1 + MAX_START_DELAY_S)
 
 
 @pytest.mark.parametrize("kind", [EndKind.DONE, EndKind.FAILED])
--- a/tests/shard/test_starts_that_are_stopped.py
+++ b/tests/shard/test_starts_that_are_stopped.py
@@ -7,7 +7,7 @@
 from linkspan.shard.core import ShardCore
 from linkspan.shard.crash_history import CrashHistory
 from linkspan.shard.messages import ExecutorReport, StartOrder, StopOrder
-from linkspan.shard.orders._orders import LATE_START_S
+from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan
@@ -66,7 +66,7 @@
     core.on_stopped(stop, True, 4.2)
     empty(core, "e0@2", 2, asked=4.3)
     assert not only_task(core).pending, "and the one after that may get it"
-    empty(core, "e0@2", 2, asked=UNANSWERED_AT + LATE_START_S)
+    empty(core, "e0@2", 2, asked=UNANSWERED_AT + MAX_START_DELAY_S)
     assert only_task(core).pending
 
 
--- a/tests/shard/test_unknown_ends.py
+++ b/tests/shard/test_unknown_ends.py
@@ -21,7 +21,7 @@
 
     core = core_with(step(1), log=log)
     if left:
-        core.left.add("bb")
+        core.departed_jobs.add("bb")
     ends = [
         EndedTask(n + 1, TaskName("bb", 0, 0, n), 1, EndKind.DONE, "")
         for n in range(MOST_UNKNOWN_PER_S + 5)
--- a/tests/shard/test_work_left.py
+++ b/tests/shard/test_work_left.py
@@ -24,7 +24,7 @@
     for task, part in zip(run.steps[0].tasks, parts, strict=True):
         if part == -1:
             task.done = True
-            run.steps[0].left -= 1
+            run.steps[0].remaining_tasks -= 1
         elif part is not None:
             attempt = Attempt(task, 1, "e1", Phase.RUNNING, 0.0)
             attempt.progress = part
@@ -39,5 +39,5 @@
     assert run.steps[0].share_left == max(left)
     assert abs(run.steps[0].tasks_left - sum(left)) < 1e-9
     lengths = run.job.expected_durations_s
-    open_work = sum(left) * 2_000 * lengths[0] if run.steps[0].left else 0.0
+    open_work = sum(left) * 2_000 * lengths[0] if run.steps[0].remaining_tasks else 0.0
     assert abs(run.work_left - open_work - 3 * 1_000 * lengths[1]) < 1e-6
