--- a/bench/_busy_hall.py
+++ b/bench/_busy_hall.py
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         super().__init__()
         self._log = EventLog("bench")
-        self._log.name(host="bench", hall="east")
+        self._log.bind(host="bench", hall="east")
         logger = logging.getLogger("linkspan.bench")
         handler = logger.handlers[0]
         assert isinstance(handler, logging.StreamHandler)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -30,7 +30,7 @@
 from linkspan.peer import codec as peer_codec
 from linkspan.peer.messages import Envelope
 from linkspan.services.http import HttpWorkers
-from linkspan.services.messages import Orders
+from linkspan.services.messages import ExchangeRequest
 
 PAGE = Path(__file__).resolve().parents[1] / "docs" / "CAPACITY.md"
 
@@ -60,10 +60,10 @@
         hosts = await fleet.get(fleet.platform, "/hosts")
         port = HttpWorkers(fleet.session)
         for _ in range(50):
-            await port.exchange(hosts[0]["address"], Orders())
+            await port.exchange(hosts[0]["address"], ExchangeRequest())
         started = time.process_time()
         for _ in range(500):
-            await port.exchange(hosts[0]["address"], Orders())
+            await port.exchange(hosts[0]["address"], ExchangeRequest())
         return (time.process_time() - started) / 500 * 1e3
 
 
--- a/bench/halls.py
+++ b/bench/halls.py
@@ -10,7 +10,7 @@
 from linkspan.placement.placer import PolicyPlacer
 from linkspan.placement.policies import BestFit
 from linkspan.scheduler.core import SchedulerCore
-from linkspan.services.messages import RunKey, WorkerReport
+from linkspan.services.messages import AttemptKey, WorkerReport
 
 SIZE = Resources(32_000, 125_000)
 TASK_SIZE = Resources(1_500, 4_000)
@@ -66,6 +66,6 @@
     """Return the report of a worker that runs all that the ledger has on it."""
     account = ledger.workers[number]
     running = tuple(
-        RunKey(f"{ledger.hall}/{task.job}.{task.index}", 1) for task in sorted(account.tasks)
+        AttemptKey(f"{ledger.hall}/{task.job}.{task.index}", 1) for task in sorted(account.tasks)
     )
     return WorkerReport(account.spec, 1_000.0, running=running)
--- a/bench/interference_world.py
+++ b/bench/interference_world.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from linkspan.model.resources import NOTHING, Resources
+from linkspan.model.resources import NO_RESOURCES, Resources
 
 TICK_S = 1.0
 WORKERS = 24
@@ -63,7 +63,7 @@
     arrived: float = 0.0
     done_s: float = 0.0
     saved_s: float = 0.0
-    reserved: Resources = NOTHING
+    reserved: Resources = NO_RESOURCES
     throttled: bool = False
     placed_at: float = 0.0
     has_started: bool = False
@@ -154,7 +154,7 @@
     def place(self, worker: int, task: Task, reserved: Resources) -> None:
         """Start a task on a worker."""
         task.reserved, task.placed_at = reserved, self.now
-        if not reserved.fits(self.room(worker)):
+        if not reserved.fits_within(self.room(worker)):
             self.figures.overcommitted += 1
         self.tasks[worker][task.number] = task
         if task.urgent and not task.has_started:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -50,7 +50,7 @@
     def cost(self, worker: int, task: Task, size: Resources) -> float | None:
         """Return the cost of a worker for a task, None to leave it out."""
         room = self.world.room(worker)
-        if not size.fits(room):
+        if not size.fits_within(room):
             return None
         return self.policy.cost(
             _SPEC, size, Candidate(worker, room, Resources(32_000, 125_000), {})
@@ -158,7 +158,7 @@
 
     def cost(self, worker: int, task: Task, size: Resources) -> float | None:
         """Return the predicted latency over target, None when it is too much."""
-        if worker in self._held or not size.fits(self.world.room(worker)):
+        if worker in self._held or not size.fits_within(self.world.room(worker)):
             return None
         if self.without == "admission":
             return float(worker)
@@ -234,12 +234,14 @@
 
     def reserve(self, task: Task) -> Resources:
         """Know the true size, but reserve no less than declared."""
-        return task.declared.largest(task.true_size)
+        return task.declared.elementwise_max(task.true_size)
 
     def cost(self, worker: int, task: Task, size: Resources) -> float | None:
         """Return the true latency with the task, None when over the limit."""
         failing = self.world.failing.get(worker, (0.0, 0.0))
-        if failing[0] <= self.world.now < failing[1] or not size.fits(self.world.room(worker)):
+        if failing[0] <= self.world.now < failing[1] or not size.fits_within(
+            self.world.room(worker)
+        ):
             return None
         worst = max(
             self.world.latency(worker, s)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -39,9 +39,9 @@
     outcome = await Run(plan, folder).play()
     print(outcome, flush=True)
     write_verdict(folder, outcome)
-    for line in outcome.broken[:MOST_LINES]:
+    for line in outcome.violations[:MOST_LINES]:
         print(f"  {line}")
-    if outcome.broken:
+    if outcome.violations:
         print(f"  logs: {folder}", flush=True)
     elif not keep:
         shutil.rmtree(folder)
@@ -60,7 +60,7 @@
     plan = replace(Plan.of_seed(seed, seconds), **sizes)
     folder = Path(keep_logs or LOGS) / f"seed-{seed}"
     outcome = asyncio.run(_play(plan, folder, keep=bool(keep_logs)))
-    sys.exit(1 if outcome.broken else 0)
+    sys.exit(1 if outcome.violations else 0)
 
 
 def series(
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -124,7 +124,7 @@
         self._executors = executors
         self._session = session
         self.jobs: list[Job] = []
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def send_jobs(self, per_s: float) -> None:
         """Submit jobs until cancelled, each by a caller of its own."""
@@ -240,7 +240,7 @@
         if status == 410 and job.accepted_at and asked > job.accepted_at + VISIBLE_S:
             since = asked - job.accepted_at
             line = f"LOST {job.id}: {method} at {host} got 410 {since:.1f} s after its acceptance"
-            self.broken.append(line)
+            self.violations.append(line)
 
     async def call(
         self, method: str, host: str, path: str, *, prefix: str = QUEUE.prefix, **body: Any
--- a/soak/executors.py
+++ b/soak/executors.py
@@ -87,7 +87,7 @@
             return
         super().judge_acknowledged(executor, end)
         if end.kind is EndKind.DONE and self.starts[end.task][-1] > done_at:
-            self.broken.append(f"TWICE {end.task} started after run {end.run} was done")
+            self.violations.append(f"TWICE {end.task} started after run {end.run} was done")
 
     def note_lapse(self, address: str) -> None:
         """Note whether the lease of the executor at an address is over."""
@@ -155,7 +155,7 @@
             executor.advance()
         return asdict(
             Observed(
-                broken=world.broken,
+                broken=world.violations,
                 done_at={task_to_wire(task): at for task, at in world.done_at.items()},
                 started_at=dict(world.started_at),
                 running=[task_to_wire(task) for e in alive for task in e.running],
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -159,7 +159,7 @@
 
 def judge(callers: Callers, observed: Observed, calm_from: float) -> list[str]:
     """Return promises broken by what executors and callers saw in the whole run."""
-    broken = list(observed.broken) + callers.broken
+    broken = list(observed.broken) + callers.violations
     for job in callers.jobs:
         started = observed.started_at.get(job.id, [])
         if job.never_taken and started:
--- a/soak/run.py
+++ b/soak/run.py
@@ -35,7 +35,7 @@
 
     Attributes:
         plan: Size and seed.
-        broken: Broken promises, with the time since the start where it is known.
+        violations: Broken promises, with the time since the start where it is known.
         jobs: Jobs submitted.
         accepted: Jobs accepted.
         starts: Runs that executors started.
@@ -48,7 +48,7 @@
     """
 
     plan: Plan
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     jobs: int = 0
     accepted: int = 0
     starts: int = 0
@@ -60,7 +60,7 @@
     seconds: float = 0.0
 
     def __str__(self) -> str:
-        verdict = f"BROKEN {len(self.broken)}" if self.broken else "kept"
+        verdict = f"BROKEN {len(self.violations)}" if self.violations else "kept"
         return (
             f"seed {self.plan.seed}: {verdict}; {self.plan.hosts} hosts, "
             f"{self.plan.executors} executors, {self.jobs} jobs, {self.accepted} accepted, "
@@ -95,7 +95,7 @@
             callers = Callers(random, world.callers_at, world.executors, world.session)
             await self._disturb(world, callers)
             await self._calm_down(world, callers)
-        self._outcome.broken += crashes(self._folder)
+        self._outcome.violations += crashes(self._folder)
         self._outcome.seconds = time.monotonic() - self._began
         return self._outcome
 
@@ -136,26 +136,26 @@
         self._note("calm begins")
         await world.settle_links()
         outcome = self._outcome
-        outcome.broken += await settle(world, callers)
+        outcome.violations += await settle(world, callers)
         outcome.settled_s = time.monotonic() - calm_from
         for _ in range(CALM_JOBS):
             job = callers.draw_job(calm=True)
             await callers.submit(job, Random(job.id))
             if job.told != [Told.ACCEPTED]:
-                outcome.broken.append(f"UNSERVED {job.id} in calm times: {job.told}")
+                outcome.violations.append(f"UNSERVED {job.id} in calm times: {job.told}")
         await world.configure(extra_routes=1)
-        outcome.broken += await await_configuration(world, callers)
+        outcome.violations += await await_configuration(world, callers)
         standing = [
             job
             for job in callers.jobs
             if job.accepted_at and job.standing and not job.cancelled_at and not job.crash_after_s
         ]
         await asyncio.gather(*(callers.cancel(job, Random(job.id)) for job in standing))
-        outcome.broken += await settle(world, callers)
+        outcome.violations += await settle(world, callers)
         observed = await world.observed()
-        outcome.broken += judge(callers, observed, calm_from)
-        outcome.broken += world.broken + self._tally.broken
-        outcome.broken += [f"ENDED {end}" for h in world.hosts.values() for end in h.own_ends]
+        outcome.violations += judge(callers, observed, calm_from)
+        outcome.violations += world.violations + self._tally.broken
+        outcome.violations += [f"ENDED {end}" for h in world.hosts.values() for end in h.own_ends]
         outcome.jobs = len(callers.jobs)
         outcome.accepted = sum(1 for job in callers.jobs if job.accepted_at)
         outcome.crashing = sum(1 for job in callers.jobs if job.accepted_at and job.crash_after_s)
@@ -163,7 +163,7 @@
         outcome.starts = sum(map(len, observed.started_at.values()))
         outcome.questions, outcome.closed = self._tally.answered, self._tally.closed
         if not (outcome.accepted and outcome.starts and outcome.questions):
-            outcome.broken.append("EMPTY nothing was served in the whole run")
+            outcome.violations.append("EMPTY nothing was served in the whole run")
 
     def _note(self, text: str) -> None:
         with (self._folder / "faults.log").open("a") as log:
--- a/soak/verdicts.py
+++ b/soak/verdicts.py
@@ -22,7 +22,7 @@
 def write_verdict(folder: Path, outcome: Outcome) -> None:
     """Keep what a run gave, with every broken promise."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / VERDICT).write_text("\n".join([str(outcome), *outcome.broken]) + "\n")
+    (folder / VERDICT).write_text("\n".join([str(outcome), *outcome.violations]) + "\n")
 
 
 def keep_broken(seeds: list[int], folder: Path, kept_below: Path) -> str:
--- a/soak/world.py
+++ b/soak/world.py
@@ -41,7 +41,7 @@
         store_links: Proxy of the store for each host, by name.
         executor_links: Proxy of each executor, by the address that it registers.
         callers_at: Address of each proxy in ``callers``.
-        broken: Promises broken by the processes themselves.
+        violations: Promises broken by the processes themselves.
     """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
@@ -55,7 +55,7 @@
         self.store_links: dict[str, FaultProxy] = {}
         self.executor_links: dict[str, FaultProxy] = {}
         self.callers_at: dict[str, str] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.version = 0
         self.extra_routes = 0
 
@@ -145,7 +145,7 @@
     async def stop(self, host: HostProcess) -> None:
         """Stop a host as planned; it must end within its time, without an error."""
         if not await host.stop(GRACE_S) and host.harmed_at < time.monotonic() - 2 * GRACE_S:
-            self.broken.append(f"STOP {host.name} had not ended {GRACE_S:.0f} s after SIGTERM")
+            self.violations.append(f"STOP {host.name} had not ended {GRACE_S:.0f} s after SIGTERM")
 
     async def ready(self, host: HostProcess) -> bool:
         """Whether a host calls itself ready."""
--- a/src/linkspan/_capnp_schema.py
+++ b/src/linkspan/_capnp_schema.py
@@ -8,17 +8,17 @@
 
 
 @cache
-def load_schema(beside: str, name: str) -> Any:
+def load_schema(module_file: str, name: str) -> Any:
     """Return the schema of a file that stands beside a module.
 
     The library is imported here, since it costs memory that the command line
     has no use for.
 
     Args:
-        beside: The module's ``__file__``.
+        module_file: The module's ``__file__``.
         name: The schema's file name.
     """
     import capnp
 
     capnp.remove_import_hook()
-    return capnp.load(str(Path(beside).with_name(name)))
+    return capnp.load(str(Path(module_file).with_name(name)))
--- a/src/linkspan/_typed.py
+++ b/src/linkspan/_typed.py
@@ -5,14 +5,14 @@
 import sys
 from typing import Any
 
-MOST_WHOLE = 2**53
+MAX_EXACT_INT = 2**53
 """Largest size of a whole number: up to it, JSON of any writer keeps numbers exact."""
 
-MOST_NUMBER = sys.float_info.max
+MAX_FLOAT = sys.float_info.max
 """Largest finite number."""
 
 
-def text(value: Any) -> str:
+def parse_text(value: Any) -> str:
     """Return a text.
 
     Raises:
@@ -26,7 +26,7 @@
     return value
 
 
-def whole(value: Any, *, least: int = 0) -> int:
+def parse_int(value: Any, *, minimum: int = 0) -> int:
     """Return a whole number; a fraction is cut off.
 
     Raises:
@@ -34,9 +34,9 @@
         ValueError: It is out of bounds.
     """
     # Reports hold many of these: the common case goes first.
-    if type(value) is int and least <= value <= MOST_WHOLE:
+    if type(value) is int and minimum <= value <= MAX_EXACT_INT:
         return value
-    return int(number(value, least=least, most=MOST_WHOLE))
+    return int(parse_number(value, minimum=minimum, maximum=MAX_EXACT_INT))
 
 
 def parse_started_at_ms(value: Any) -> int | None:
@@ -50,10 +50,10 @@
     """
     if value is not None and type(value) is not int:
         raise TypeError(f"{value!r:.60} is no birth")
-    return None if value is None else whole(value)
+    return None if value is None else parse_int(value)
 
 
-def number(value: Any, *, least: float = 0.0, most: float = MOST_NUMBER) -> float:
+def parse_number(value: Any, *, minimum: float = 0.0, maximum: float = MAX_FLOAT) -> float:
     """Return a finite number as it was given.
 
     Raises:
@@ -63,12 +63,12 @@
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise TypeError(f"{value!r:.60} is no number")
     # NaN is not within any bounds.
-    if not least <= value <= most:
+    if not minimum <= value <= maximum:
         raise ValueError(f"{value!r:.60} is out of bounds")
     return value
 
 
-def rows(value: Any) -> list[Any]:
+def parse_list(value: Any) -> list[Any]:
     """Return a list; one that is left out is empty.
 
     Raises:
@@ -83,7 +83,7 @@
     return list(value)
 
 
-def fields(value: Any) -> dict[str, Any]:
+def parse_object(value: Any) -> dict[str, Any]:
     """Return an object; one that is left out is empty.
 
     Raises:
--- a/src/linkspan/config/document.py
+++ b/src/linkspan/config/document.py
@@ -9,7 +9,7 @@
 
 from linkspan._fields import as_number, as_object, as_text, no_others
 from linkspan.errors import InvalidInput
-from linkspan.model.resources import NOTHING, Resources
+from linkspan.model.resources import NO_RESOURCES, Resources
 from linkspan.selectors.selector import parse_selector
 
 Document: TypeAlias = Mapping[str, Any]
@@ -46,13 +46,13 @@
     connections: int = 64
     queue: int = 256
     replicas: int = 0
-    size: Resources = NOTHING
+    size: Resources = NO_RESOURCES
     selector: str = ""
     labels: dict[str, str] = field(default_factory=dict, hash=False)
 
 
 @dataclass(frozen=True, slots=True)
-class CompanyRule:
+class AntiAffinityRule:
     """Work matching ``work`` never shares a worker with ``never_with``."""
 
     work: str
@@ -129,7 +129,7 @@
     return {as_text(path, key): as_text(f"{path}/{key}", text) for key, text in fields.items()}
 
 
-def company_of(name: str, value: Any) -> CompanyRule:
+def anti_affinity_of(name: str, value: Any) -> AntiAffinityRule:
     """Return the rule that a ``company/`` value describes.
 
     Raises:
@@ -138,7 +138,7 @@
     path = f"company/{name}"
     fields = as_object(path, value)
     no_others(path, fields, ("work", "never_with"))
-    return CompanyRule(
+    return AntiAffinityRule(
         as_text(f"{path}/work", fields.get("work", None)),
         as_text(f"{path}/never_with", fields.get("never_with", None)),
     )
--- a/src/linkspan/config/store.py
+++ b/src/linkspan/config/store.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChangeVerdict:
+class ChangeResult:
     """What became of a change.
 
     Attributes:
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         self._state = ConfigState()
-        self._verdicts: dict[str, ChangeVerdict] = {}
+        self._verdicts: dict[str, ChangeResult] = {}
         self.next_offset = 0
 
     def __repr__(self) -> str:
@@ -108,7 +108,7 @@
         """The version in force, 0 before the first."""
         return self._state.version
 
-    def verdict_of(self, change_id: str) -> ChangeVerdict | None:
+    def result_of(self, change_id: str) -> ChangeResult | None:
         """Return what became of a change, None when that is not known here."""
         return self._verdicts.get(change_id)
 
@@ -124,7 +124,7 @@
         self.next_offset = max(self.next_offset, state.version)
         return True
 
-    def apply(self, offset: int, body: bytes) -> ChangeVerdict | None:
+    def apply(self, offset: int, body: bytes) -> ChangeResult | None:
         """Fold in the record at ``offset``.
 
         Returns:
@@ -146,25 +146,25 @@
             del self._verdicts[next(iter(self._verdicts))]
         return verdict
 
-    def _decide(self, offset: int, change: Change) -> ChangeVerdict:
+    def _decide(self, offset: int, change: Change) -> ChangeResult:
         state = self._state
         if change.change_id in state.recent:
-            return ChangeVerdict(True, state.recent[change.change_id])
+            return ChangeResult(True, state.recent[change.change_id])
         conflicts = sorted(k for k in change.touched if state.key_versions.get(k, 0) > change.base)
         if conflicts:
             reason = f"changed since version {change.base}; read them and offer it again"
-            return ChangeVerdict(False, self.version, reason, tuple(conflicts))
+            return ChangeResult(False, self.version, reason, tuple(conflicts))
         document = merged(state.document, change)
         errors = errors_in(document)
         if errors:
-            return ChangeVerdict(False, self.version, f"{errors[0].key}: {errors[0].text}")
+            return ChangeResult(False, self.version, f"{errors[0].key}: {errors[0].text}")
         version = offset + 1
         key_versions = {**state.key_versions, **dict.fromkeys(change.touched, version)}
         recent = {**state.recent, change.change_id: version}
         if len(recent) > IDS_KEPT:
             del recent[next(iter(recent))]
         self._state = ConfigState(version, MappingProxyType(document), key_versions, recent)
-        return ChangeVerdict(True, version)
+        return ChangeResult(True, version)
 
 
 def merged(document: Document, change: Change) -> dict[str, Any]:
--- a/src/linkspan/config/validate.py
+++ b/src/linkspan/config/validate.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from linkspan.config.document import SECTIONS, company_of, labels_of, quota_of, service_of
+from linkspan.config.document import SECTIONS, anti_affinity_of, labels_of, quota_of, service_of
 from linkspan.errors import InvalidInput, SelectorSyntaxError
 from linkspan.placement.placers import PLACERS
 from linkspan.routing.pickers import PICKERS
@@ -73,7 +73,7 @@
 
 
 def _check_company(name: str, value: Any) -> Iterator[Finding]:
-    rule = company_of(name, value)
+    rule = anti_affinity_of(name, value)
     for text in (rule.work, rule.never_with):
         key = parse_selector(text).contradiction()
         if key:
--- a/src/linkspan/errors.py
+++ b/src/linkspan/errors.py
@@ -143,12 +143,12 @@
     """An append was out of sequence.
 
     Args:
-        wanted: Sequence number that the store expects next.
+        expected_sequence: Sequence number that the store expects next.
     """
 
     def __init__(self, wanted: int) -> None:
         super().__init__(f"store expects sequence number {wanted}; start a new epoch")
-        self.wanted = wanted
+        self.expected_sequence = wanted
 
 
 class Fenced(LinkspanError):
@@ -159,9 +159,9 @@
     """Another incarnation answers at the address; the intended one is gone."""
 
 
-def describe(error: BaseException) -> str:
+def format_error(error: BaseException) -> str:
     """Return an error with the place where each of its parts was raised, for a log."""
     if isinstance(error, BaseExceptionGroup):
-        return "; ".join(describe(part) for part in error.exceptions)
+        return "; ".join(format_error(part) for part in error.exceptions)
     frames = traceback.extract_tb(error.__traceback__)[-3:]
     return f"{error!r} at {[f'{Path(f.filename).name}:{f.lineno}' for f in frames]}"
--- a/src/linkspan/events.py
+++ b/src/linkspan/events.py
@@ -237,7 +237,7 @@
     def __repr__(self) -> str:
         return f"EventLog({self._common['daemon']!r})"
 
-    def name(self, **common: Any) -> None:
+    def bind(self, **common: Any) -> None:
         """Add fields that every later line carries."""
         self._common.update(common)
 
--- a/src/linkspan/gateway/daemon.py
+++ b/src/linkspan/gateway/daemon.py
@@ -49,8 +49,8 @@
         router = self._router = Router(node.name, node.address, settings.hall)
         claimer = Claimer(node)
         proxy = Proxy(node, router, claimer)
-        node.describe = self._describe
-        node.beats.subscribe(router.on_beat)
+        node.complete_heartbeat = self._describe
+        node.heartbeats.subscribe(router.on_beat)
         node.gone.subscribe(router.on_gone)
         node.host_lists.subscribe(router.on_hosts)
         node.config_states.subscribe(router.on_config)
--- a/src/linkspan/gateway/operators.py
+++ b/src/linkspan/gateway/operators.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from linkspan._fields import as_number, as_text, json_object, no_others
-from linkspan.config.store import CONFIG_STREAM, Change, ChangeVerdict, encode_change, merged
+from linkspan.config.store import CONFIG_STREAM, Change, ChangeResult, encode_change, merged
 from linkspan.config.validate import validate
 from linkspan.errors import InvalidInput, LogUnavailable
 from linkspan.events import Event
@@ -57,7 +57,7 @@
 
     async def get_change(self, request: web.Request) -> web.Response:
         """Answer ``GET /config/changes/ID``."""
-        verdict = self._node.config.verdict_of(request.match_info["change_id"])
+        verdict = self._node.config.result_of(request.match_info["change_id"])
         if verdict is None:
             text = "no verdict known here; it may be with the log, or be long past"
             return problem(404, "unknown_change", text)
@@ -96,10 +96,10 @@
             )
         return _verdict_answer(verdict, warnings)
 
-    async def _await_verdict(self, change_id: str) -> ChangeVerdict | None:
+    async def _await_verdict(self, change_id: str) -> ChangeResult | None:
         deadline = time.monotonic() + self._timeout_s
         while time.monotonic() < deadline:
-            verdict = self._node.config.verdict_of(change_id)
+            verdict = self._node.config.result_of(change_id)
             if verdict is not None:
                 return verdict
             await asyncio.sleep(VERDICT_TICK_S)
@@ -172,7 +172,7 @@
     return Change(change_id, base, author, dict(values), tuple(deleted))
 
 
-def _verdict_answer(verdict: ChangeVerdict, warnings: list[str]) -> web.Response:
+def _verdict_answer(verdict: ChangeResult, warnings: list[str]) -> web.Response:
     body = {
         "accepted": verdict.accepted,
         "version": verdict.version,
--- a/src/linkspan/host/candidate.py
+++ b/src/linkspan/host/candidate.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from linkspan.clock import steady
-from linkspan.errors import OffsetConflict, RecordError, StoreRefused, StoreUnanswered, describe
+from linkspan.errors import OffsetConflict, RecordError, StoreRefused, StoreUnanswered, format_error
 from linkspan.events import Event
 from linkspan.shard.ownership._proof import TenureLost
 from linkspan.shard.ownership.ownership import (
@@ -149,13 +149,13 @@
             # A tenure that nothing tells of newer owners must not go on giving orders.
             self._end_tenure()
 
-    async def hand_on(self) -> None:
+    async def hand_off(self) -> None:
         """Give the shard to another host before a planned stop."""
         self._enabled.clear()
         tenure = self._tenure
         if tenure is None:
             return
-        await tenure.hand_on(HAND_ON_S)
+        await tenure.hand_off(HAND_ON_S)
         try:
             await self._append(OwnerAct.RELEASE)
         except (StoreRefused, StoreUnanswered) as error:
@@ -259,7 +259,7 @@
         except TenureLost as error:
             self._log.write(Event.OWNER_LOST, shard=self._shard, reason=str(error))
         except Exception as error:
-            self._log.write(Event.CRASHED, task=f"shard {self._shard}", error=describe(error))
+            self._log.write(Event.CRASHED, task=f"shard {self._shard}", error=format_error(error))
             await asyncio.sleep(CRASH_PAUSE_S)
         if self._tenure is tenure:
             self._tenure = None
--- a/src/linkspan/host/daemon.py
+++ b/src/linkspan/host/daemon.py
@@ -11,14 +11,14 @@
 import aiohttp
 from aiohttp import web
 
-from linkspan.errors import SettingsError, describe
+from linkspan.errors import SettingsError, format_error
 from linkspan.events import Event, EventLog
 from linkspan.host.host import Adapter, Host
 from linkspan.host.listener import Listener
 from linkspan.metrics import HostMetrics
 from linkspan.platform.advice import AdviceClient
 from linkspan.platform.executors import ExecutorClient
-from linkspan.platform.jobs import CallerBodies
+from linkspan.platform.jobs import JsonCallerFormat
 from linkspan.platform.machines import MachineClient
 from linkspan.platform.readiness import READINESS_PATH
 from linkspan.platform.records import configuration_from_wire, executor_from_wire
@@ -71,7 +71,7 @@
         self._loaded_s = loaded_s
         self._incarnation = secrets.token_hex(6)
         self._log = EventLog("host", stream="stdout")
-        self._log.name(host=settings.name, hall=settings.hall, life=self._incarnation[:4])
+        self._log.bind(host=settings.name, hall=settings.hall, life=self._incarnation[:4])
         self._metrics = HostMetrics()
         self._stop = asyncio.Event()
 
@@ -127,7 +127,7 @@
         stop = asyncio.create_task(self._stop.wait())
         done, _ = await asyncio.wait([work, stop], return_when=asyncio.FIRST_COMPLETED)
         if work in done and (error := work.exception()):
-            self._log.write(Event.CRASHED, task="host", error=describe(error))
+            self._log.write(Event.CRASHED, task="host", error=format_error(error))
         if stop in done:
             grace_s = self._settings.bounds.grace_s
             limit_s = DRAIN_SHARE * grace_s
@@ -173,7 +173,7 @@
         executors=lambda token: ExecutorClient(session, token),
         machines=MachineClient(session, settings.machines) if settings.machines else None,
         policy=AdviceClient(session, settings.advice) if settings.advice else None,
-        bodies=CallerBodies(),
+        bodies=JsonCallerFormat(),
         configuration_records=CONFIG_RECORDS,
         configuration_key=CONFIG_KEY,
         executor_records=EXECUTOR_RECORDS,
--- a/src/linkspan/host/host.py
+++ b/src/linkspan/host/host.py
@@ -216,7 +216,7 @@
         self._draining = True
         self.front.drain(until=began + limit_s)
         self._log.write(Event.DRAINING, in_flight=self.front.in_flight)
-        await asyncio.gather(*(candidate.hand_on() for candidate in self.candidates))
+        await asyncio.gather(*(candidate.hand_off() for candidate in self.candidates))
         await asyncio.sleep(began + notice_s - steady())
         if refuse_new:
             await refuse_new()
--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -11,8 +11,7 @@
 
 import orjson
 
-from linkspan._typed import fields as fields_of
-from linkspan._typed import number, rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_number, parse_object, parse_text
 from linkspan.errors import RecordError
 from linkspan.jobs.crash import Crash
 from linkspan.jobs.records import (
@@ -101,7 +100,7 @@
         "payload": spec.payload,
         "steps": [_step_fields(step) for step in spec.steps],
         "shard": record.shard,
-        "accepted": record.accepted,
+        "accepted": record.accepted_at,
     }
     if spec.schedule:
         fields["schedule"] = asdict(spec.schedule)
@@ -121,9 +120,14 @@
 def _terms_from(row: list[Any]) -> QueueTerms:
     # Later versions may tell more behind it.
     service, most, priority, stretch, target_s, *more = row
-    advice = AdviceRule(number(more[0])) if more and more[0] is not None else None
+    advice = AdviceRule(parse_number(more[0])) if more and more[0] is not None else None
     return QueueTerms(
-        text(service), whole(most), whole(priority), number(stretch), number(target_s), advice
+        parse_text(service),
+        parse_int(most),
+        parse_int(priority),
+        parse_number(stretch),
+        parse_number(target_s),
+        advice,
     )
 
 
@@ -149,24 +153,24 @@
 
 
 def _submitted_from(value: Any, host: str) -> Submitted:
-    fields = fields_of(value)
+    fields = parse_object(value)
     schedule = fields.get("schedule")
     spec = JobSpec(
-        text(fields["id"]),
-        text(fields["queue"]),
-        text(fields["payload"]),
-        tuple(_step_from(fields_of(step)) for step in rows(fields["steps"])),
-        _schedule_from(fields_of(schedule)) if schedule else None,
+        parse_text(fields["id"]),
+        parse_text(fields["queue"]),
+        parse_text(fields["payload"]),
+        tuple(_step_from(parse_object(step)) for step in parse_list(fields["steps"])),
+        _schedule_from(parse_object(schedule)) if schedule else None,
     )
-    terms = _terms_from(rows(fields["terms"])) if "terms" in fields else None
-    version = whole(fields["version"]) if "version" in fields else None
-    shard, accepted = whole(fields["shard"]), number(fields["accepted"])
+    terms = _terms_from(parse_list(fields["terms"])) if "terms" in fields else None
+    version = parse_int(fields["version"]) if "version" in fields else None
+    shard, accepted = parse_int(fields["shard"]), parse_number(fields["accepted"])
     return Submitted(spec, shard, accepted, host, terms, version)
 
 
 def _schedule_from(fields: dict[str, Any]) -> Schedule:
-    first, interval = number(fields["first_s"]), number(fields["interval_s"])
-    return Schedule(whole(fields["count"]), first, interval)
+    first, interval = parse_number(fields["first_s"]), parse_number(fields["interval_s"])
+    return Schedule(parse_int(fields["count"]), first, interval)
 
 
 def _flag(value: Any) -> bool:
@@ -176,22 +180,22 @@
 
 
 def _indexes(value: Any) -> tuple[int, ...]:
-    return tuple(whole(index) for index in rows(value))
+    return tuple(parse_int(index) for index in parse_list(value))
 
 
 def _budget(value: Any) -> int | None:
-    return None if value is None else whole(value)
+    return None if value is None else parse_int(value)
 
 
 _STEP_READERS: dict[str, Callable[[Any], Any]] = {
-    "estimate_s": number,
+    "estimate_s": parse_number,
     "depends_on": _indexes,
-    "label": text,
-    "data_rack": text,
-    "max_per_executor": whole,
+    "label": parse_text,
+    "data_rack": parse_text,
+    "max_per_executor": parse_int,
     "disruption_budget": _budget,
-    "image": text,
-    "latency_target_ms": number,
+    "image": parse_text,
+    "latency_target_ms": parse_number,
 }
 """How fields of a step are read that are no flags."""
 
@@ -204,30 +208,36 @@
 def _step_from(fields: dict[str, Any]) -> StepSpec:
     known = {name: _step_field(name, fields[name]) for name in _STEP_DEFAULTS if name in fields}
     # Later versions may tell more behind what this one knows, here and below.
-    milli_cpu, memory_mb, gpus, *_ = (whole(size) for size in rows(fields["demand"]))
+    milli_cpu, memory_mb, gpus, *_ = (parse_int(size) for size in parse_list(fields["demand"]))
     return StepSpec(
-        count=whole(fields["count"]), demand=Demand(milli_cpu, memory_mb, gpus), **known
+        count=parse_int(fields["count"]), demand=Demand(milli_cpu, memory_mb, gpus), **known
     )
 
 
 def _finished_from(job_id: str, _part: str, fields: Any) -> Finished:
-    state, shard, at, queue, *_ = rows(fields)
-    return Finished(job_id, JobState(text(state)), whole(shard), number(at), text(queue))
+    state, shard, at, queue, *_ = parse_list(fields)
+    return Finished(
+        job_id, JobState(parse_text(state)), parse_int(shard), parse_number(at), parse_text(queue)
+    )
 
 
 def _loans_from(fields: Any) -> tuple[Delegation, ...]:
-    return tuple(_loan_from(rows(row)) for row in rows(fields))
+    return tuple(_loan_from(parse_list(row)) for row in parse_list(fields))
 
 
 def _loan_from(row: list[Any]) -> Delegation:
     """Return a loan; earlier versions tell nothing of crashes, later ones may tell more."""
     step, index, number_, crashes, points, *more = [*row, 0, 0][: max(len(row), 5)]
     named = tuple(
-        Crash(text(incarnation), whole(run), whole(counts)).with_certainty(whole(known))
-        for incarnation, run, counts, known, *_ in map(rows, rows(more[0]) if more else ())
+        Crash(parse_text(incarnation), parse_int(run), parse_int(counts)).with_certainty(
+            parse_int(known)
+        )
+        for incarnation, run, counts, known, *_ in map(
+            parse_list, parse_list(more[0]) if more else ()
+        )
     )
-    name = whole(step), whole(index), whole(number_)
-    return Delegation(*name, whole(crashes), whole(points), named)
+    name = parse_int(step), parse_int(index), parse_int(number_)
+    return Delegation(*name, parse_int(crashes), parse_int(points), named)
 
 
 def _loan_row(delegation: Delegation) -> list[Any]:
@@ -248,7 +258,7 @@
 
 _DECODERS: dict[str, Callable[[str, str, Any], JobRecord]] = {
     "s": lambda _job_id, host, fields: _submitted_from(fields, host),
-    "m": lambda job_id, _part, shard: Moved(job_id, whole(shard)),
+    "m": lambda job_id, _part, shard: Moved(job_id, parse_int(shard)),
     "l": lambda job_id, shard, fields: Delegated(job_id, int(shard), _loans_from(fields)),
     "r": lambda job_id, shard, fields: Returned(job_id, int(shard), _loans_from(fields)),
     "c": lambda job_id, _part, _fields: Cancelled(job_id),
--- a/src/linkspan/jobs/records.py
+++ b/src/linkspan/jobs/records.py
@@ -42,7 +42,7 @@
     Attributes:
         spec: The job.
         shard: Number of the shard that runs it.
-        accepted: Time of day at the accepting host, in seconds since 1970.
+        accepted_at: Time of day at the accepting host, in seconds since 1970.
         host: Life of the accepting host's process, and which sending of its record this
             is: each writes a key of its own.
         terms: What it was accepted under; ``None`` in records of earlier versions.
@@ -51,7 +51,7 @@
 
     spec: JobSpec
     shard: int
-    accepted: float
+    accepted_at: float
     host: str
     terms: QueueTerms | None = None
     version: int | None = None
--- a/src/linkspan/ledger/ledger.py
+++ b/src/linkspan/ledger/ledger.py
@@ -30,7 +30,7 @@
     WorkerSeen,
 )
 from linkspan.model.job import AttemptId, TaskId
-from linkspan.model.resources import NOTHING, Resources
+from linkspan.model.resources import NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from linkspan.model.job import JobSpec
@@ -52,7 +52,7 @@
 """Finished jobs whose ids and counts are remembered."""
 
 
-class Verdict(Enum):
+class ApplyResult(Enum):
     """What the fold made of a decision."""
 
     APPLIED = "applied"
@@ -87,7 +87,7 @@
 
     number: int
     spec: WorkerSpec
-    used: Resources = NOTHING
+    used: Resources = NO_RESOURCES
     tasks: set[TaskId] = field(default_factory=set)
 
     @property
@@ -153,7 +153,7 @@
         """Return the task's latest attempt; attempt 0 was never placed."""
         return AttemptId(*task, self.jobs[task.job].attempts[task.index])
 
-    def apply(self, offset: int, record: Record) -> list[Verdict]:
+    def apply(self, offset: int, record: Record) -> list[ApplyResult]:
         """Fold in the record at ``offset`` and return a verdict a decision.
 
         Args:
@@ -162,18 +162,18 @@
             record: The record.
         """
         if offset < self.next_offset:
-            return [Verdict.DUPLICATE] * len(record.decisions)
+            return [ApplyResult.DUPLICATE] * len(record.decisions)
         self.next_offset = offset + 1
         self._forget_tombstones()
         if offset - record.read_offset > WINDOW:
-            return [Verdict.LATE] * len(record.decisions)
+            return [ApplyResult.LATE] * len(record.decisions)
         return [self._decide(offset, decision) for decision in record.decisions]
 
     def skip(self, offset: int) -> None:
         """Pass over an offset that holds no readable record."""
         self.next_offset = max(self.next_offset, offset + 1)
 
-    def _decide(self, offset: int, decision: Decision) -> Verdict:
+    def _decide(self, offset: int, decision: Decision) -> ApplyResult:
         match decision:
             case Placed(attempt, worker):
                 return self._place(offset, attempt, worker)
@@ -204,19 +204,19 @@
             case TakenOver():
                 return self._take_over(decision)
             case SnapshotPart():
-                return Verdict.APPLIED
+                return ApplyResult.APPLIED
 
-    def _submit(self, spec: JobSpec) -> Verdict:
+    def _submit(self, spec: JobSpec) -> ApplyResult:
         if spec.job_id in self.tombstones:
-            return Verdict.CANCELLED
+            return ApplyResult.CANCELLED
         known = self.spec_of(spec.job_id)
         if known is not None:
-            return Verdict.DUPLICATE if known == spec else Verdict.CONFLICT
+            return ApplyResult.DUPLICATE if known == spec else ApplyResult.CONFLICT
         entry = JobEntry(self.next_job, spec)
         self.jobs[entry.number] = entry
         self.job_numbers[spec.job_id] = entry.number
         self.next_job += 1
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
     def spec_of(self, job_id: str) -> JobSpec | None:
         """Return the job under way or remembered under this id."""
@@ -238,31 +238,31 @@
         finished = self.finished.get(job_id)
         return finished.counts if finished else None
 
-    def _cancel(self, offset: int, job_id: str) -> Verdict:
+    def _cancel(self, offset: int, job_id: str) -> ApplyResult:
         if job_id in self.finished:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         number = self.job_numbers.get(job_id)
         if number is None:
             self.tombstones[job_id] = offset
             self.tombstones.move_to_end(job_id)
-            return Verdict.APPLIED
+            return ApplyResult.APPLIED
         entry = self.jobs[number]
         if entry.cancelled:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         entry.cancelled = True
         table = bytes.maketrans(bytes([TaskState.QUEUED]), bytes([TaskState.CANCELLED]))
         entry.states = entry.states.translate(table)
         self._finish_if_over(entry)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _hand_over(self, job: int, hall: str) -> Verdict:
+    def _hand_over(self, job: int, hall: str) -> ApplyResult:
         """Give the job's queued tasks to another hall, once for each job."""
         entry = self.jobs.get(job)
         if entry is None:
-            return Verdict.UNKNOWN
+            return ApplyResult.UNKNOWN
         origin = f"{self.hall}/{job}"
         if origin in self.handed or not entry.queued or hall == self.hall:
-            return Verdict.WRONG_STATE
+            return ApplyResult.WRONG_STATE
         tasks = []
         for index, state in enumerate(entry.states):
             if state == TaskState.QUEUED:
@@ -272,13 +272,13 @@
         self.handed[origin] = Handover(hall, TakenOver(origin, entry.spec, tuple(tasks)))
         _keep_last(self.handed, HANDOVERS_KEPT)
         self._finish_if_over(entry)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _take_over(self, taken: TakenOver) -> Verdict:
+    def _take_over(self, taken: TakenOver) -> ApplyResult:
         """Take up tasks that another hall's ledger has handed to this one."""
         spec = taken.spec
         if taken.origin in self.taken or self.spec_of(spec.job_id) is not None:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         self.taken[taken.origin] = spec.job_id
         _keep_last(self.taken, HANDOVERS_KEPT)
         entry = JobEntry(self.next_job, spec)
@@ -293,24 +293,24 @@
         self.next_job += 1
         if spec.job_id in self.tombstones:
             self._cancel(self.next_offset, spec.job_id)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _place(self, offset: int, attempt: AttemptId, worker: int) -> Verdict:
+    def _place(self, offset: int, attempt: AttemptId, worker: int) -> ApplyResult:
         entry, account = self.jobs.get(attempt.job), self.workers.get(worker)
         if entry is None or account is None or attempt.index >= entry.spec.count:
-            return Verdict.UNKNOWN
+            return ApplyResult.UNKNOWN
         index = attempt.index
         queued = entry.states[index] == TaskState.QUEUED
         if not queued or attempt.attempt != entry.attempts[index] + 1:
-            return Verdict.WRONG_STATE
-        if not entry.size.fits(account.room):
-            return Verdict.NO_ROOM
+            return ApplyResult.WRONG_STATE
+        if not entry.size.fits_within(account.room):
+            return ApplyResult.NO_ROOM
         entry.states[index] = TaskState.PLACED
         entry.attempts[index] = attempt.attempt
         account.used += entry.size
         account.tasks.add(attempt.task)
         self.placements[attempt.task] = Placement(worker, entry.size, offset)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
     def _live(self, attempt: AttemptId) -> JobEntry | None:
         """Return the job if exactly this attempt is placed or recalled."""
@@ -319,46 +319,46 @@
             return None
         return entry if entry.attempts[attempt.index] == attempt.attempt else None
 
-    def _recall(self, offset: int, attempt: AttemptId) -> Verdict:
+    def _recall(self, offset: int, attempt: AttemptId) -> ApplyResult:
         entry = self._live(attempt)
         if entry is None or entry.states[attempt.index] != TaskState.PLACED:
-            return Verdict.WRONG_STATE
+            return ApplyResult.WRONG_STATE
         entry.states[attempt.index] = TaskState.RECALLED
         self.recalled.add(attempt.task)
         placement = self.placements[attempt.task]
         self.placements[attempt.task] = placement._replace(recalled=offset)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _end(self, attempt: AttemptId, outcome: Outcome) -> Verdict:
+    def _end(self, attempt: AttemptId, outcome: Outcome) -> ApplyResult:
         entry = self._live(attempt)
         if entry is None:
-            return Verdict.WRONG_STATE
+            return ApplyResult.WRONG_STATE
         if outcome is Outcome.SUCCEEDED:
             restarts = entry.spec.restarts and not entry.cancelled
             self._release(entry, attempt, TaskState.QUEUED if restarts else TaskState.DONE)
-            return Verdict.APPLIED
+            return ApplyResult.APPLIED
         failures = entry.failures.get(attempt.index, 0) + 1
         entry.failures[attempt.index] = failures
         again = entry.spec.repeatable and (entry.spec.restarts or failures < MAX_FAILURES)
         self._release(entry, attempt, TaskState.QUEUED if again else TaskState.FAILED)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _evict(self, attempt: AttemptId, checkpoint: str, started: bool) -> Verdict:
+    def _evict(self, attempt: AttemptId, checkpoint: str, started: bool) -> ApplyResult:
         entry = self._live(attempt)
         if entry is None:
-            return Verdict.WRONG_STATE
+            return ApplyResult.WRONG_STATE
         resumable = entry.spec.repeatable or bool(checkpoint) or not started
         if checkpoint:
             entry.checkpoints[attempt.index] = checkpoint
         self._release(entry, attempt, TaskState.QUEUED if resumable else TaskState.LOST)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _lapse(self, attempt: AttemptId) -> Verdict:
+    def _lapse(self, attempt: AttemptId) -> ApplyResult:
         entry = self._live(attempt)
         if entry is None or entry.states[attempt.index] != TaskState.RECALLED:
-            return Verdict.WRONG_STATE
+            return ApplyResult.WRONG_STATE
         self._release_unproven(entry, attempt)
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
     def _release_unproven(self, entry: JobEntry, attempt: AttemptId) -> None:
         """End an attempt that surely stopped, but of which no more is known."""
@@ -390,50 +390,50 @@
         if len(self.finished) > FINISHED_KEPT:
             self.finished.popitem(last=False)
 
-    def _see_worker(self, spec: WorkerSpec) -> Verdict:
+    def _see_worker(self, spec: WorkerSpec) -> ApplyResult:
         number = self.worker_numbers.get(spec.name)
         if number is None:
             number = len(self.worker_numbers) + 1
             self.worker_numbers[spec.name] = number
             self.workers[number] = WorkerEntry(number, spec)
-            return Verdict.APPLIED
+            return ApplyResult.APPLIED
         account = self.workers[number]
         if spec == account.spec:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         if spec.incarnation < account.spec.incarnation:
-            return Verdict.WRONG_STATE
+            return ApplyResult.WRONG_STATE
         restarted = spec.incarnation > account.spec.incarnation
         account.spec = spec
         if restarted:
             for task in sorted(account.tasks):
                 self._release_unproven(self.jobs[task.job], self.attempt_of(task))
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _resize(self, job: int, size: Resources) -> Verdict:
+    def _resize(self, job: int, size: Resources) -> ApplyResult:
         entry = self.jobs.get(job)
         if entry is None:
-            return Verdict.UNKNOWN
+            return ApplyResult.UNKNOWN
         if entry.size == size:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         entry.size = size
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _join(self, offset: int, scheduler: str) -> Verdict:
+    def _join(self, offset: int, scheduler: str) -> ApplyResult:
         if scheduler in self.schedulers or scheduler in self.expelled:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         self.schedulers[scheduler] = offset
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
-    def _leave(self, scheduler: str) -> Verdict:
+    def _leave(self, scheduler: str) -> ApplyResult:
         joined = self.schedulers.pop(scheduler, None)
         expelled = self.expelled.pop(scheduler, None)
-        return Verdict.DUPLICATE if joined is expelled is None else Verdict.APPLIED
+        return ApplyResult.DUPLICATE if joined is expelled is None else ApplyResult.APPLIED
 
-    def _expel(self, offset: int, scheduler: str) -> Verdict:
+    def _expel(self, offset: int, scheduler: str) -> ApplyResult:
         if self.schedulers.pop(scheduler, None) is None:
-            return Verdict.DUPLICATE
+            return ApplyResult.DUPLICATE
         self.expelled[scheduler] = offset
-        return Verdict.APPLIED
+        return ApplyResult.APPLIED
 
     def _forget_tombstones(self) -> None:
         horizon = self.next_offset - WINDOW - 1
--- a/src/linkspan/ledger/run_keys.py
+++ b/src/linkspan/ledger/run_keys.py
@@ -5,23 +5,23 @@
 from typing import TYPE_CHECKING
 
 from linkspan.model.job import AttemptId
-from linkspan.services.messages import RunKey
+from linkspan.services.messages import AttemptKey
 
 if TYPE_CHECKING:
     from linkspan.ledger.ledger import Ledger
 
 
-def run_key(hall: str, attempt: AttemptId) -> RunKey:
+def run_key(hall: str, attempt: AttemptId) -> AttemptKey:
     """Return the attempt's name towards workers.
 
     Example:
         >>> run_key("rennes-a", AttemptId(7, 2, 1))
-        RunKey(task='rennes-a/7.2', attempt=1)
+        AttemptKey(task='rennes-a/7.2', attempt=1)
     """
-    return RunKey(f"{hall}/{attempt.job}.{attempt.index}", attempt.attempt)
+    return AttemptKey(f"{hall}/{attempt.job}.{attempt.index}", attempt.attempt)
 
 
-def attempt_of_run(hall: str, run: RunKey) -> AttemptId | None:
+def attempt_of_run(hall: str, run: AttemptKey) -> AttemptId | None:
     """Return the attempt that a worker names, None if it is not of this hall."""
     named, _, rest = run.task.rpartition("/")
     job, _, index = rest.partition(".")
--- a/src/linkspan/model/resources.py
+++ b/src/linkspan/model/resources.py
@@ -16,7 +16,7 @@
     Example:
         >>> Resources(1000, 512) + Resources(500, 256, 1)
         Resources(milli_cpu=1500, memory_mb=768, accelerators=1)
-        >>> Resources(1000, 512).fits(Resources(999, 4096))
+        >>> Resources(1000, 512).fits_within(Resources(999, 4096))
         False
     """
 
@@ -42,7 +42,7 @@
         """Return this amount ``count`` times over."""
         return Resources(self.milli_cpu * count, self.memory_mb * count, self.accelerators * count)
 
-    def fits(self, room: Resources) -> bool:
+    def fits_within(self, room: Resources) -> bool:
         """Return whether this amount is within ``room`` in every dimension."""
         return (
             self.milli_cpu <= room.milli_cpu
@@ -50,7 +50,7 @@
             and self.accelerators <= room.accelerators
         )
 
-    def largest(self, other: Resources) -> Resources:
+    def elementwise_max(self, other: Resources) -> Resources:
         """Return the larger of the two in each dimension."""
         return Resources(
             max(self.milli_cpu, other.milli_cpu),
@@ -59,4 +59,4 @@
         )
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
--- a/src/linkspan/placement/learned.py
+++ b/src/linkspan/placement/learned.py
@@ -31,7 +31,7 @@
     from linkspan.model.job import JobSpec
     from linkspan.model.resources import Resources
     from linkspan.placement.guard import Action
-    from linkspan.services.messages import RunKey, Usage, WorkerReport
+    from linkspan.services.messages import AttemptKey, UsageSample, WorkerReport
 
 MOST_PREEMPTIONS = 4
 """Urgent tasks for which room is made in one pass."""
@@ -121,7 +121,7 @@
         self.colocation.note_company(str(number), now, services, batch)
 
     def _learn(
-        self, usage: Usage, entry: JobEntry, number: int, task: TaskId, measured: float
+        self, usage: UsageSample, entry: JobEntry, number: int, task: TaskId, measured: float
     ) -> None:
         spec = entry.spec
         self.sizes.learn(spec.kind, usage.used)
@@ -162,7 +162,7 @@
             if entry.next_queued() < 0:
                 continue
             needed = self.sizes.needed(entry.spec.kind, entry.spec.size)
-            if needed != entry.size and needed.largest(entry.size) == needed:
+            if needed != entry.size and needed.elementwise_max(entry.size) == needed:
                 yield Resized(entry.number, needed)
 
     def place(
@@ -214,7 +214,7 @@
     ]
 
 
-def _task_of(run: RunKey, ledger: Ledger) -> TaskId | None:
+def _task_of(run: AttemptKey, ledger: Ledger) -> TaskId | None:
     """Return the task of an attempt that the ledger has placed now."""
     attempt = attempt_of_run(ledger.hall, run)
     if attempt is None or attempt.task not in ledger.placements:
--- a/src/linkspan/placement/placer.py
+++ b/src/linkspan/placement/placer.py
@@ -9,7 +9,7 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from linkspan.config.document import company_of, labels_of, quota_of
+from linkspan.config.document import anti_affinity_of, labels_of, quota_of
 from linkspan.model.job import TaskId
 from linkspan.model.resources import Resources
 from linkspan.placement.policies import Candidate, FirstFit, Policy
@@ -73,7 +73,7 @@
         elif section == "labels":
             labels[name] = labels_of(key, value)
         elif section == "company":
-            rule = company_of(name, value)
+            rule = anti_affinity_of(name, value)
             company.append((parse_selector(rule.work), parse_selector(rule.never_with)))
     return PlacementRules(quotas, tuple(company), labels)
 
@@ -180,7 +180,9 @@
     def may_run(self, entry: JobEntry, worker: WorkerSpec) -> bool:
         """Return whether the job's selector and size allow the worker at all."""
         selector = parse_selector(entry.spec.selector)
-        return selector.matches(self.rules.labels_of(worker)) and entry.size.fits(worker.size)
+        return selector.matches(self.rules.labels_of(worker)) and entry.size.fits_within(
+            worker.size
+        )
 
     def take_result(self) -> PassResult | None:
         """Return the latest pass's result once, for the log."""
@@ -287,7 +289,7 @@
 
     def _candidates(self, entry: JobEntry) -> tuple[list[tuple[float, int]], Obstacle | None]:
         selector = parse_selector(entry.spec.selector)
-        roomy = [w for w, room in self._room.items() if entry.size.fits(room)]
+        roomy = [w for w, room in self._room.items() if entry.size.fits_within(room)]
         if selector.terms:
             roomy = [w for w in roomy if selector.matches(self._labels(w))]
         if not roomy:
@@ -300,7 +302,7 @@
         matching = [w for w in self._room if selector.matches(self._labels(w))]
         if not matching:
             return Obstacle.SELECTOR
-        if not any(entry.size.fits(self._ledger.workers[w].spec.size) for w in matching):
+        if not any(entry.size.fits_within(self._ledger.workers[w].spec.size) for w in matching):
             return Obstacle.TOO_LARGE
         return Obstacle.NO_ROOM
 
@@ -308,7 +310,7 @@
         return self._rules.labels_of(self._ledger.workers[worker].spec)
 
     def _cost(self, entry: JobEntry, worker: int) -> float | None:
-        if not entry.size.fits(self._room[worker]) or not self._may_share(entry, worker):
+        if not entry.size.fits_within(self._room[worker]) or not self._may_share(entry, worker):
             return None
         size = self._ledger.workers[worker].spec.size
         candidate = Candidate(worker, self._room[worker], size, self._kinds_on(worker))
--- a/src/linkspan/placement/preemption.py
+++ b/src/linkspan/placement/preemption.py
@@ -79,14 +79,14 @@
     room = site.room
     taken: list[Victim] = []
     for victim in sorted(site.victims, key=lambda v: _cost(v) / max(v.size.milli_cpu, 1)):
-        if size.fits(room):
+        if size.fits_within(room):
             break
         taken.append(victim)
         room += victim.size
-    if not size.fits(room):
+    if not size.fits_within(room):
         return None
     for victim in list(taken):
-        if size.fits(room - victim.size):
+        if size.fits_within(room - victim.size):
             taken.remove(victim)
             room -= victim.size
     return tuple(taken)
--- a/src/linkspan/placement/queueing.py
+++ b/src/linkspan/placement/queueing.py
@@ -7,7 +7,7 @@
 
 from linkspan.ledger.job_entry import TaskState
 from linkspan.model.job import Priority
-from linkspan.model.resources import NOTHING, Resources
+from linkspan.model.resources import NO_RESOURCES, Resources
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -29,7 +29,7 @@
 
     def __init__(self, quotas: Mapping[str, Resources]) -> None:
         self._quotas = quotas
-        self._used: defaultdict[str, Resources] = defaultdict(lambda: NOTHING)
+        self._used: defaultdict[str, Resources] = defaultdict(lambda: NO_RESOURCES)
 
     def __repr__(self) -> str:
         return f"TeamUsage({dict(self._used)})"
@@ -56,7 +56,7 @@
         quota = self._quotas.get(entry.spec.team)
         if quota is None:
             return True
-        return (self._used[entry.spec.team] + entry.size).fits(quota)
+        return (self._used[entry.spec.team] + entry.size).fits_within(quota)
 
     def share(self, team: str) -> float:
         """Return the team's use as a part of its quota, or in cores without one."""
--- a/src/linkspan/placement/sizes.py
+++ b/src/linkspan/placement/sizes.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from linkspan.model.resources import NOTHING, Resources
+from linkspan.model.resources import NO_RESOURCES, Resources
 
 KINDS_KEPT = 2_000
 """Kinds remembered; the one unseen for longest goes first."""
@@ -62,4 +62,4 @@
             round(learnt.memory_mb * HEADROOM),
             learnt.accelerators,
         )
-        return declared.largest(used if learnt.seen else NOTHING)
+        return declared.elementwise_max(used if learnt.seen else NO_RESOURCES)
--- a/src/linkspan/platform/advice.py
+++ b/src/linkspan/platform/advice.py
@@ -6,8 +6,7 @@
 
 import orjson
 
-from linkspan._typed import fields as fields_of
-from linkspan._typed import number, rows, text
+from linkspan._typed import parse_list, parse_number, parse_object, parse_text
 from linkspan.errors import Unreachable
 from linkspan.platform._answers import JsonService
 from linkspan.shard.incarnation import Incarnation
@@ -48,9 +47,9 @@
 def _advice(fields: Any) -> Advice:
     try:
         # "good" holds rows of an executor's id and its ticket.
-        fields = fields_of(fields)
-        good = [rows(row) for row in rows(fields.get("good"))]
-        tickets = {text(row[0]): text(row[1]) for row in good}
-        return Advice(tickets, number(fields.get("valid_ms") or 0) / 1000)
+        fields = parse_object(fields)
+        good = [parse_list(row) for row in parse_list(fields.get("good"))]
+        tickets = {parse_text(row[0]): parse_text(row[1]) for row in good}
+        return Advice(tickets, parse_number(fields.get("valid_ms") or 0) / 1000)
     except (TypeError, ValueError, IndexError) as error:
         raise Unreachable(f"policy service sent no advice: {error!r}; ask again") from error
--- a/src/linkspan/platform/executors.py
+++ b/src/linkspan/platform/executors.py
@@ -8,7 +8,7 @@
 import aiohttp
 import orjson
 
-from linkspan._typed import number, parse_started_at_ms, rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_number, parse_started_at_ms, parse_text
 from linkspan.errors import Fenced, Unconnected, Unreachable, WrongIncarnation
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.messages import (
@@ -183,18 +183,18 @@
 def _clock(fields: dict[str, Any]) -> float | None:
     clock_ms = fields.get("clockMs")
     try:
-        return None if clock_ms is None else number(clock_ms) / 1000
+        return None if clock_ms is None else parse_number(clock_ms) / 1000
     except (TypeError, ValueError) as error:
         raise Unreachable(f"executor's clock: {error!r}; it is asked again") from error
 
 
 def _report(fields: dict[str, Any]) -> ExecutorReport:
     try:
-        ended = rows(fields.get("ended"))
+        ended = parse_list(fields.get("ended"))
         return ExecutorReport(
-            clock_s=number(fields["clockMs"]) / 1000,
-            running=tuple(_running(rows(row)) for row in rows(fields.get("running"))),
-            ended=tuple(_ended(rows(row)) for row in ended),
+            clock_s=parse_number(fields["clockMs"]) / 1000,
+            running=tuple(_running(parse_list(row)) for row in parse_list(fields.get("running"))),
+            ended=tuple(_ended(parse_list(row)) for row in ended),
             is_complete=len(ended) < ENDS_LISTED,
             started_at_ms=parse_started_at_ms(fields.get("born")),
         )
@@ -203,18 +203,24 @@
 
 
 def _running(row: list[Any]) -> RunningTask:
-    usage = None if len(row) < 5 or row[4] is None else number(row[4])
-    progress = whole(row[3]) if len(row) > 3 else 0
+    usage = None if len(row) < 5 or row[4] is None else parse_number(row[4])
+    progress = parse_int(row[3]) if len(row) > 3 else 0
     return RunningTask(
-        task_from_wire(text(row[0])), whole(row[1]), text(row[2] or ""), progress, usage
+        task_from_wire(parse_text(row[0])),
+        parse_int(row[1]),
+        parse_text(row[2] or ""),
+        progress,
+        usage,
     )
 
 
 def _ended(row: list[Any]) -> EndedTask:
     # Later versions may tell more behind it.
     count, task, run, how, saved, *_ = row
-    name = task_from_wire(text(task))
-    return EndedTask(whole(count), name, whole(run), _end_kind(text(how)), text(saved or ""))
+    name = task_from_wire(parse_text(task))
+    return EndedTask(
+        parse_int(count), name, parse_int(run), _end_kind(parse_text(how)), parse_text(saved or "")
+    )
 
 
 def _end_kind(how: str) -> EndKind:
--- a/src/linkspan/platform/jobs.py
+++ b/src/linkspan/platform/jobs.py
@@ -6,8 +6,7 @@
 
 import orjson
 
-from linkspan._typed import fields as fields_of
-from linkspan._typed import number, rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_number, parse_object, parse_text
 from linkspan.errors import InvalidInput
 from linkspan.jobs.records import JobState
 from linkspan.jobs.spec import JobSpec, Schedule, StepSpec, check_job
@@ -24,12 +23,12 @@
         InvalidInput: The body is no valid job.
     """
     try:
-        fields = fields_of(orjson.loads(body))
+        fields = parse_object(orjson.loads(body))
         spec = JobSpec(
             job_id=job_id,
             queue=queue,
-            payload=text(fields.get("spec") or ""),
-            steps=tuple(_step(fields_of(row)) for row in rows(fields["steps"])),
+            payload=parse_text(fields.get("spec") or ""),
+            steps=tuple(_step(parse_object(row)) for row in parse_list(fields["steps"])),
             schedule=_schedule(fields),
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
@@ -39,44 +38,44 @@
 
 
 def _schedule(fields: dict[str, Any]) -> Schedule | None:
-    count = whole(fields.get("repeatCount") or 0)
+    count = parse_int(fields.get("repeatCount") or 0)
     if not count:
         return None
-    first_s = number(fields.get("firstMs") or 0) / 1000
-    return Schedule(count, first_s, number(fields.get("intervalMs") or 0) / 1000)
+    first_s = parse_number(fields.get("firstMs") or 0) / 1000
+    return Schedule(count, first_s, parse_number(fields.get("intervalMs") or 0) / 1000)
 
 
 def _step(row: dict[str, Any]) -> StepSpec:
     budget = row.get("may_miss")
     standing = bool(row.get("indefinite"))
     return StepSpec(
-        count=whole(row.get("count") or 1),
+        count=parse_int(row.get("count") or 1),
         demand=demand_from_wire(row),
-        estimate_s=number(row.get("estimatedMs") or 0) / 1000,
-        depends_on=tuple(whole(index) for index in rows(row.get("dependsOn"))),
-        label=text(row.get("requirements") or ""),
-        data_rack=text(row.get("affinity") or ""),
-        max_per_executor=whole(row.get("antiAffinity") or 0),
+        estimate_s=parse_number(row.get("estimatedMs") or 0) / 1000,
+        depends_on=tuple(parse_int(index) for index in parse_list(row.get("dependsOn"))),
+        label=parse_text(row.get("requirements") or ""),
+        data_rack=parse_text(row.get("affinity") or ""),
+        max_per_executor=parse_int(row.get("antiAffinity") or 0),
         gang=bool(row.get("gangScheduled")),
         one_rack=bool(row.get("rackLocal")),
         speculative=bool(row.get("speculative")),
         standing=standing,
         # An omitted 0 means that none may be away.
-        disruption_budget=whole(budget or 0) if standing else None,
+        disruption_budget=parse_int(budget or 0) if standing else None,
         best_effort=bool(row.get("fills")),
-        image=text(row.get("image") or ""),
-        latency_target_ms=number(row.get("target_ms") or 0),
+        image=parse_text(row.get("image") or ""),
+        latency_target_ms=parse_number(row.get("target_ms") or 0),
         checkpoints=bool(row.get("checkpointing")),
     )
 
 
-class CallerBodies:
+class JsonCallerFormat:
     """Form of what callers send and get."""
 
     timeout_header = TIMEOUT_HEADER
 
     def __repr__(self) -> str:
-        return "CallerBodies()"
+        return "JsonCallerFormat()"
 
     def job(self, job_id: str, queue: str, body: bytes) -> JobSpec:
         """Return the job of a body.
--- a/src/linkspan/platform/machines.py
+++ b/src/linkspan/platform/machines.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import quote
 
-from linkspan._typed import text
+from linkspan._typed import parse_text
 from linkspan.errors import Unreachable
 from linkspan.platform._answers import JsonService
 from linkspan.shard.machines import MachineRecord, MachineState, UnreadMachines
@@ -69,7 +69,7 @@
 
 def _next_token(page: dict[str, Any]) -> str:
     token = page.get("nextToken")
-    return "" if token is None else text(token)
+    return "" if token is None else parse_text(token)
 
 
 def _machine_or_not(row: Any) -> MachineRecord | UnreadMachines:
@@ -82,17 +82,17 @@
 def _readable_id(row: Any) -> str | None:
     try:
         # An odd row that names no executor may as well have lost its name.
-        return text(row["id"]) or None
+        return parse_text(row["id"]) or None
     except (KeyError, TypeError, ValueError):
         return None
 
 
 def _machine(row: Any) -> MachineRecord:
     return MachineRecord(
-        name=text(row["machine"]),
+        name=parse_text(row["machine"]),
         # "pool" names the service whose executors the machine runs.
-        service=text(row["pool"]),
-        state=MachineState(text(row["state"])),
+        service=parse_text(row["pool"]),
+        state=MachineState(parse_text(row["state"])),
         # "id" is that of the machine's executor: an empty text, not left out, while it has none.
-        executor_id=text(row["id"]),
+        executor_id=parse_text(row["id"]),
     )
--- a/src/linkspan/platform/records.py
+++ b/src/linkspan/platform/records.py
@@ -6,8 +6,15 @@
 
 import orjson
 
-from linkspan._typed import MOST_NUMBER, number, parse_started_at_ms, rows, text, whole
-from linkspan._typed import fields as fields_of
+from linkspan._typed import (
+    MAX_FLOAT,
+    parse_int,
+    parse_list,
+    parse_number,
+    parse_object,
+    parse_started_at_ms,
+    parse_text,
+)
 from linkspan.errors import RecordError
 from linkspan.jobs.spec import Demand
 from linkspan.model.configuration import AdviceRule, Configuration, Queue, Service
@@ -25,39 +32,39 @@
         RecordError: The bytes are no configuration.
     """
     try:
-        fields = fields_of(orjson.loads(value))
-        queues = [_queue(fields_of(row)) for row in rows(fields.get("routes"))]
-        services = [_service(fields_of(row)) for row in rows(fields.get("services"))]
-        limits = fields_of(fields.get("limits"))
+        fields = parse_object(orjson.loads(value))
+        queues = [_queue(parse_object(row)) for row in parse_list(fields.get("routes"))]
+        services = [_service(parse_object(row)) for row in parse_list(fields.get("services"))]
+        limits = parse_object(fields.get("limits"))
         return Configuration(
-            version=whole(fields["version"]),
+            version=parse_int(fields["version"]),
             queues={queue.name: queue for queue in queues},
             services={service.name: service for service in services},
-            max_body_bytes=whole(limits.get("maxBodyBytes") or 262_144),
+            max_body_bytes=parse_int(limits.get("maxBodyBytes") or 262_144),
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise RecordError(f"configuration: {error!r}; publish a valid one") from error
 
 
 def _queue(row: dict[str, Any]) -> Queue:
-    advice = fields_of(row.get("advice"))
+    advice = parse_object(row.get("advice"))
     return Queue(
-        name=text(row["name"]),
-        host=text(row["hostname"]),
-        prefix=text(row["pathPrefix"]),
-        service=text(row["service"]),
-        priority=whole(row.get("priority") or 0),
-        max_attempts=whole(row.get("maxAttempts") or 1),
-        stretch=number(row.get("stretch") or 1.0),
-        target_s=number(row.get("targetLatencyMs") or 1000) / 1000,
-        timeout_s=number(row.get("timeoutMs") or 3000) / 1000,
-        advice=AdviceRule(number(advice.get("valid_ms") or 0) / 1000) if advice else None,
+        name=parse_text(row["name"]),
+        host=parse_text(row["hostname"]),
+        prefix=parse_text(row["pathPrefix"]),
+        service=parse_text(row["service"]),
+        priority=parse_int(row.get("priority") or 0),
+        max_attempts=parse_int(row.get("maxAttempts") or 1),
+        stretch=parse_number(row.get("stretch") or 1.0),
+        target_s=parse_number(row.get("targetLatencyMs") or 1000) / 1000,
+        timeout_s=parse_number(row.get("timeoutMs") or 3000) / 1000,
+        advice=AdviceRule(parse_number(advice.get("valid_ms") or 0) / 1000) if advice else None,
     )
 
 
 def _service(row: dict[str, Any]) -> Service:
     return Service(
-        name=text(row["name"]),
+        name=parse_text(row["name"]),
         # "admissionCheck" says whether the executors reject what does not fit.
         guards_room=bool(row.get("admissionCheck", False)),
         spare=bool(row.get("spare", False)),
@@ -71,9 +78,9 @@
         RecordError: The bytes are no executor's record.
     """
     try:
-        fields = fields_of(orjson.loads(value))
+        fields = parse_object(orjson.loads(value))
         _check_unused(fields)
-        labels = [text(label) for label in _list(fields["labels"])]
+        labels = [parse_text(label) for label in _list(fields["labels"])]
         return ExecutorRecord(
             executor_id=_incarnation(executor_id, fields).name,
             service=_name(fields["service"]),
@@ -83,9 +90,10 @@
             # The labels are its kind and then its rack.
             labels=frozenset(labels),
             rack=labels[-1] if labels else "",
-            draining=_DRAINING[text(fields["state"])],
+            draining=_DRAINING[parse_text(fields["state"])],
             # Below 0 it stays beyond its time; that it drains counts all the same.
-            remaining_s=max(number(fields.get("remainingMs") or 0, least=-MOST_NUMBER), 0) / 1000,
+            remaining_s=max(parse_number(fields.get("remainingMs") or 0, minimum=-MAX_FLOAT), 0)
+            / 1000,
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise RecordError(f"executor {executor_id}: {error!r}; it names none to use") from error
@@ -105,41 +113,41 @@
     """
     _name(fields["version"])
     for name in ("slots", "coldRemainingMs", "callSeq"):
-        whole(fields[name])
+        parse_int(fields[name])
 
 
 def _name(value: Any) -> str:
     """Return a text that is not empty."""
     if not value:
         raise ValueError("a name is empty")
-    return text(value)
+    return parse_text(value)
 
 
 def _address(value: Any) -> str:
     """Return an ``ip:port``."""
-    ip, _, port = text(value).rpartition(":")
+    ip, _, port = parse_text(value).rpartition(":")
     if not ip or not port.isdecimal() or any(sign.isspace() for sign in ip):
         raise ValueError(f"{value!r:.60} is no address")
-    return text(value)
+    return parse_text(value)
 
 
 def _list(value: Any) -> list[Any]:
     if value is None:
         raise TypeError("a list is missing")
-    return rows(value)
+    return parse_list(value)
 
 
 def _capacity(value: Any) -> Demand:
-    fields = fields_of(value)
+    fields = parse_object(value)
     # "cpu" counts thousandths of a core.
-    return Demand(whole(fields["cpu"]), whole(fields["memMb"]), whole(fields["gpu"]))
+    return Demand(parse_int(fields["cpu"]), parse_int(fields["memMb"]), parse_int(fields["gpu"]))
 
 
 def demand_from_wire(fields: dict[str, Any]) -> Demand:
     """Return the room that a capacity or a step names."""
     return Demand(
         # "cpu" counts thousandths of a core.
-        whole(fields.get("cpu") or 0),
-        whole(fields.get("memMb") or 0),
-        whole(fields.get("gpu") or 0),
+        parse_int(fields.get("cpu") or 0),
+        parse_int(fields.get("memMb") or 0),
+        parse_int(fields.get("gpu") or 0),
     )
--- a/src/linkspan/platform/settings.py
+++ b/src/linkspan/platform/settings.py
@@ -8,8 +8,7 @@
 
 import yaml
 
-from linkspan._typed import fields as fields_of
-from linkspan._typed import number, rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_number, parse_object, parse_text
 from linkspan.errors import SettingsError
 from linkspan.model.settings import Bounds, HostSettings, StoreLimits
 
@@ -57,51 +56,51 @@
     except (OSError, yaml.YAMLError, ValueError, TypeError, KeyError, RecursionError) as error:
         raise SettingsError(f"{path}: {error}; check the settings file") from error
     try:
-        return _settings(fields_of(fields))
+        return _settings(parse_object(fields))
     except (KeyError, TypeError, ValueError, RecursionError) as error:
         raise SettingsError(f"{path}: field {error}; give it in the documented form") from error
 
 
 def _settings(fields: dict[str, Any]) -> HostSettings:
-    addresses = fields_of(fields["bindAddresses"])
-    store = fields_of(fields["platform"])
+    addresses = parse_object(fields["bindAddresses"])
+    store = parse_object(fields["platform"])
     if fields.get("commands", "invoke") != "invoke":
         raise SettingsError("commands: only 'invoke' is supported; set it to that")
-    hall = text(fields["zone"])
+    hall = parse_text(fields["zone"])
     halls = _halls(fields["zones"])
     if hall not in halls:
         raise ValueError(f"zone: {hall!r} is not among zones")
     return HostSettings(
-        name=text(fields["nodeName"]),
+        name=parse_text(fields["nodeName"]),
         hall=hall,
         halls=halls,
-        callers=text(addresses["front"]),
-        readiness=text(addresses["ready"]),
+        callers=parse_text(addresses["front"]),
+        readiness=parse_text(addresses["ready"]),
         store=StoreLimits(
-            text(store["address"]),
-            number(store.get("writes_per_s") or 800),
-            number(store.get("reads_per_s") or 2000),
+            parse_text(store["address"]),
+            parse_number(store.get("writes_per_s") or 800),
+            parse_number(store.get("reads_per_s") or 2000),
         ),
-        advice=text(fields.get("advice") or ""),
-        machines=text(fields_of(fields.get("cloudApi")).get("address") or ""),
-        bounds=_bounds(fields_of(fields.get("bounds"))),
-        executor_heartbeat_s=number(fields.get("heartbeatMs") or 1500) / 1000,
-        memory_mb=whole(fields_of(fields.get("limits")).get("memoryMb") or 300, least=1),
+        advice=parse_text(fields.get("advice") or ""),
+        machines=parse_text(parse_object(fields.get("cloudApi")).get("address") or ""),
+        bounds=_bounds(parse_object(fields.get("bounds"))),
+        executor_heartbeat_s=parse_number(fields.get("heartbeatMs") or 1500) / 1000,
+        memory_mb=parse_int(parse_object(fields.get("limits")).get("memoryMb") or 300, minimum=1),
         peer_ports=_ports(fields.get("internalPortRange")),
-        ip=text(fields["ip"]),
+        ip=parse_text(fields["ip"]),
     )
 
 
 def _halls(given: Any) -> tuple[str, ...]:
     """Return the halls in order, of a list of them or an object that has them as keys."""
-    named = given if isinstance(given, dict) else rows(given)
-    return tuple(sorted(text(hall) for hall in named))
+    named = given if isinstance(given, dict) else parse_list(given)
+    return tuple(sorted(parse_text(hall) for hall in named))
 
 
 def _ports(given: Any) -> tuple[int, int]:
     """Return the first and the last port; hosts use none, so no form of them is refused."""
     try:
-        first, last = (whole(port) for port in rows(given))
+        first, last = (parse_int(port) for port in parse_list(given))
     except (TypeError, ValueError):
         return (0, 0)
     return (first, last)
@@ -110,7 +109,7 @@
 def _bounds(given: dict[str, Any]) -> Bounds:
     return Bounds(
         **{
-            field: number(given[name]) * unit
+            field: parse_number(given[name]) * unit
             for field, (name, unit) in _BOUNDS.items()
             if given.get(name) is not None
         }
--- a/src/linkspan/platform/store.py
+++ b/src/linkspan/platform/store.py
@@ -12,8 +12,7 @@
 import aiohttp
 import orjson
 
-from linkspan._typed import fields as fields_of
-from linkspan._typed import rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_object, parse_text
 from linkspan.errors import (
     LogGap,
     OffsetConflict,
@@ -22,7 +21,7 @@
     StoreRefused,
     StoreUnanswered,
 )
-from linkspan.store.bounds import READ_BYTES, SILENCE_S, WHOLE_S
+from linkspan.store.bounds import IDLE_TIMEOUT_S, MAX_READ_BYTES, MAX_RESPONSE_S
 from linkspan.store.types import Appended, Entry, KeyPage, Page, Partition
 
 if TYPE_CHECKING:
@@ -65,9 +64,9 @@
         session: aiohttp.ClientSession,
         address: str,
         *,
-        timeout_s: float = SILENCE_S,
-        whole_s: float = WHOLE_S,
-        read_bytes: int = READ_BYTES,
+        timeout_s: float = IDLE_TIMEOUT_S,
+        whole_s: float = MAX_RESPONSE_S,
+        read_bytes: int = MAX_READ_BYTES,
     ) -> None:
         self._session = session
         self._base = f"http://{address}/api/"
@@ -217,14 +216,14 @@
 
 def _newest_entry(row: dict[str, Any]) -> Entry:
     # "privateKey" is nothing secret: it is the record's key.
-    value = b64decode(text(row.get("value") or ""))
-    return Entry(whole(row["offset"]), value, text(row["privateKey"]).encode())
+    value = b64decode(parse_text(row.get("value") or ""))
+    return Entry(parse_int(row["offset"]), value, parse_text(row["privateKey"]).encode())
 
 
 def _key_page(answer: bytes) -> KeyPage:
     fields = _object(answer)
     try:
-        entries = tuple(_newest_entry(fields_of(row)) for row in rows(fields.get("items")))
+        entries = tuple(_newest_entry(parse_object(row)) for row in parse_list(fields.get("items")))
     except (KeyError, TypeError, ValueError) as error:
         raise StoreUnanswered(f"store sent no page of keys ({error!r}); read again") from error
     return KeyPage(entries, _whole(fields, "end"), bool(entries and fields.get("more")))
@@ -245,7 +244,7 @@
 
 def _whole(fields: dict[str, Any], name: str) -> int:
     try:
-        return whole(fields[name])
+        return parse_int(fields[name])
     except (KeyError, TypeError, ValueError) as error:
         raise StoreUnanswered(f"store sent no {name} ({error!r}); call again") from error
 
--- a/src/linkspan/runtime/log_tail.py
+++ b/src/linkspan/runtime/log_tail.py
@@ -37,7 +37,7 @@
         self._events = events
         self._stream = stream
         self._down = False
-        self.began = float("-inf")
+        self.read_started_at = float("-inf")
 
     def __repr__(self) -> str:
         return f"LogTail({self._stream!r}, down={self._down})"
@@ -48,7 +48,7 @@
         Raises:
             LogGap: ``start`` is past the log's retention.
         """
-        self.began = time.monotonic()
+        self.read_started_at = time.monotonic()
         try:
             page = await self._log.read(self._stream, start, wait_s=wait_s)
         except LogUnavailable as error:
--- a/src/linkspan/runtime/node.py
+++ b/src/linkspan/runtime/node.py
@@ -62,7 +62,7 @@
         self.config = ConfigStore()
         self.config_states: BehaviorSubject[ConfigState] = BehaviorSubject(self.config.state)
         self.host_lists: BehaviorSubject[tuple[Host, ...]] = BehaviorSubject(())
-        self.beats: Subject[Heartbeat] = Subject()
+        self.heartbeats: Subject[Heartbeat] = Subject()
         self.gone: Subject[str] = Subject()
         self.draining = False
         self.session: aiohttp.ClientSession
@@ -73,9 +73,9 @@
         self._crashed = False
         self._adopting: asyncio.Task[None] | None = None
         self._handlers: dict[type, Callable[[Any], Awaitable[Message | None]]] = {}
-        self.describe: Callable[[Heartbeat], Heartbeat] = lambda beat: beat
-        self.handle(Heartbeat, self._on_heartbeat)
-        self.handle(FetchConfig, self._on_fetch)
+        self.complete_heartbeat: Callable[[Heartbeat], Heartbeat] = lambda beat: beat
+        self.register_handler(Heartbeat, self._on_heartbeat)
+        self.register_handler(FetchConfig, self._on_fetch)
 
     def __repr__(self) -> str:
         return f"Node({self.name!r}, peers={len(self.directory.all())}, config={self.config!r})"
@@ -90,7 +90,7 @@
         self.address = await server.start(*split_address(self.settings.peer_listen))
         host = self.settings.name or self.address
         self.name = f"{host}#{secrets.token_hex(4)}"
-        self.events.name(host=self.name, hall=self.settings.hall)
+        self.events.bind(host=self.name, hall=self.settings.hall)
         self.events.write(Event.STARTED, settings=described(self.settings), pid=os.getpid())
         self._server = server
         self.spawn(self._poll_hosts())
@@ -140,7 +140,9 @@
 
     # Peers.
 
-    def handle(self, kind: type, handler: Callable[[Any], Awaitable[Message | None]]) -> None:
+    def register_handler(
+        self, kind: type, handler: Callable[[Any], Awaitable[Message | None]]
+    ) -> None:
         """Answer messages of this kind with the handler's result."""
         self._handlers[kind] = handler
 
@@ -167,7 +169,7 @@
 
     async def _on_heartbeat(self, beat: Heartbeat) -> None:
         self.directory.hear(beat, time.monotonic())
-        self.beats.on_next(beat)
+        self.heartbeats.on_next(beat)
         if beat.config > self.config.version:
             self._adopting = self._adopting or asyncio.create_task(self._adopt_from(beat.address))
 
@@ -187,7 +189,7 @@
 
     async def _beat(self) -> None:
         while True:
-            beat = self.describe(
+            beat = self.complete_heartbeat(
                 Heartbeat(
                     name=self.name,
                     role=self.role,
--- a/src/linkspan/scheduler/core.py
+++ b/src/linkspan/scheduler/core.py
@@ -11,7 +11,7 @@
 
 from linkspan._rendezvous import rendezvous
 from linkspan.ledger.job_entry import TaskState
-from linkspan.ledger.ledger import Verdict
+from linkspan.ledger.ledger import ApplyResult
 from linkspan.ledger.records import (
     Cancelled,
     Decision,
@@ -37,7 +37,7 @@
 from linkspan.scheduler.timing import Timing
 from linkspan.scheduler.worker_orders import WorkerOrders
 from linkspan.scheduler.worker_view import WorkerView
-from linkspan.services.messages import Orders, WorkerReport
+from linkspan.services.messages import ExchangeRequest, WorkerReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -57,7 +57,7 @@
     """
 
     record: Record | None
-    exchanges: dict[str, Orders]
+    exchanges: dict[str, ExchangeRequest]
 
 
 class SchedulerCore:
@@ -138,8 +138,8 @@
         *,
         end: int | None = None,
         began: float | None = None,
-        each: Callable[[int, Record, list[Verdict]], None] | None = None,
-    ) -> list[tuple[Decision, Verdict]]:
+        each: Callable[[int, Record, list[ApplyResult]], None] | None = None,
+    ) -> list[tuple[Decision, ApplyResult]]:
         """Fold in what was read from the log.
 
         Args:
@@ -152,7 +152,7 @@
         Returns:
             What this scheduler itself decided, with the verdicts.
         """
-        own: list[tuple[Decision, Verdict]] = []
+        own: list[tuple[Decision, ApplyResult]] = []
         for offset, record in entries:
             if record is None:
                 self.ledger.skip(offset)
@@ -185,12 +185,12 @@
     def _note_ends(
         self,
         record: Record,
-        verdicts: list[Verdict],
+        verdicts: list[ApplyResult],
         before: dict[AttemptId, tuple[str, str]],
         now: float,
     ) -> None:
         for decision, verdict in zip(record.decisions, verdicts, strict=True):
-            if not isinstance(decision, Ended) or verdict is not Verdict.APPLIED:
+            if not isinstance(decision, Ended) or verdict is not ApplyResult.APPLIED:
                 continue
             if decision.attempt in before:
                 kind, worker = before[decision.attempt]
@@ -422,7 +422,7 @@
             leaving=self._is_leaving(view),
         )
 
-    def _orders(self, view: WorkerView, now: float) -> Orders:
+    def _orders(self, view: WorkerView, now: float) -> ExchangeRequest:
         orders = WorkerOrders(
             view,
             self.ledger,
--- a/src/linkspan/scheduler/daemon.py
+++ b/src/linkspan/scheduler/daemon.py
@@ -11,7 +11,7 @@
 from linkspan.errors import LogGap, LogUnavailable, RecordError, Unreachable
 from linkspan.events import Event
 from linkspan.ledger.codec import decode, encode
-from linkspan.ledger.ledger import Ledger, Verdict
+from linkspan.ledger.ledger import ApplyResult, Ledger
 from linkspan.ledger.records import Lapsed, Placed, Recalled, Record, Submitted, WorkerSeen
 from linkspan.ledger.snapshot import Recovery
 from linkspan.peer.messages import Answer, Heartbeat
@@ -50,7 +50,7 @@
 
     from linkspan.config.store import ConfigState
     from linkspan.placement.placer import Obstacle, PassResult
-    from linkspan.services.messages import Orders
+    from linkspan.services.messages import ExchangeRequest
     from linkspan.services.ports import Host, WorkerPort
     from linkspan.settings import SchedulerSettings
 
@@ -98,9 +98,9 @@
         self._core = SchedulerCore(
             node.name, Ledger(self._settings.hall), self._placer, timing=self._timing
         )
-        node.describe = self._describe
+        node.complete_heartbeat = self._describe
         Questions(self._core, self._inbox, self._history).answer_for(node)
-        node.beats.subscribe(self._on_beat)
+        node.heartbeats.subscribe(self._on_beat)
         node.host_lists.subscribe(self._on_hosts)
         node.config_states.subscribe(self._on_config)
         app = make_operator_app(node, self._reasons_not_ready)
@@ -250,7 +250,7 @@
         self._node.metrics.appends.inc({"stream": "ledger", "result": result})
         self._inbox.put_nowait(Appended(answered))
 
-    async def _exchange(self, worker: str, address: str, orders: Orders) -> None:
+    async def _exchange(self, worker: str, address: str, orders: ExchangeRequest) -> None:
         began = time.monotonic()
         result = "answered"
         try:
@@ -283,7 +283,7 @@
             entries = tuple((entry.offset, _decoded(entry.body)) for entry in page.entries)
             start = entries[-1][0] + 1 if entries else start
             if recovery is None:
-                self._inbox.put_nowait(PageRead(entries, page.end, tail.began))
+                self._inbox.put_nowait(PageRead(entries, page.end, tail.read_started_at))
                 continue
             recovery.feed((offset, record) for offset, record in entries if record is not None)
             if recovery.ledger is not None:
@@ -329,7 +329,7 @@
 
     # Log lines.
 
-    def _note_record(self, offset: int, record: Record, verdicts: list[Verdict]) -> None:
+    def _note_record(self, offset: int, record: Record, verdicts: list[ApplyResult]) -> None:
         if self._core is not None:
             self._history.note_record(offset, record, verdicts, self._core.ledger)
 
@@ -367,10 +367,10 @@
                 self._node.events.write(Event.NOT_PLACED, job=job_id, reason=obstacle.value)
         self._told = dict(result.obstacles)
 
-    def _log_verdict(self, decision: Any, verdict: Verdict) -> None:
+    def _log_verdict(self, decision: Any, verdict: ApplyResult) -> None:
         kind = type(decision).__name__
         self._node.metrics.decisions.inc({"kind": kind, "verdict": verdict.name.lower()})
-        if verdict not in (Verdict.APPLIED, Verdict.DUPLICATE):
+        if verdict not in (ApplyResult.APPLIED, ApplyResult.DUPLICATE):
             self._node.events.write(
                 Event.DECISION_IGNORED, decision=repr(decision), reason=verdict.value
             )
--- a/src/linkspan/scheduler/findings.py
+++ b/src/linkspan/scheduler/findings.py
@@ -13,7 +13,7 @@
     from linkspan.ledger.ledger import Ledger
     from linkspan.ledger.records import Decision
     from linkspan.scheduler.worker_view import WorkerView
-    from linkspan.services.messages import Closed
+    from linkspan.services.messages import ClosedAttempt
 
 
 def findings(
@@ -69,7 +69,7 @@
             yield Recalled(ledger.attempt_of(task))
 
 
-def _close(closed: Closed, ledger: Ledger, worker: int) -> Iterator[Decision]:
+def _close(closed: ClosedAttempt, ledger: Ledger, worker: int) -> Iterator[Decision]:
     attempt = attempt_of_run(ledger.hall, closed.run)
     if attempt is None or worker_of(ledger, attempt) != worker:
         return
--- a/src/linkspan/scheduler/history.py
+++ b/src/linkspan/scheduler/history.py
@@ -16,7 +16,7 @@
 )
 
 if TYPE_CHECKING:
-    from linkspan.ledger.ledger import Ledger, Verdict
+    from linkspan.ledger.ledger import ApplyResult, Ledger
     from linkspan.ledger.records import Decision, Record
     from linkspan.placement.placer import PassResult
 
@@ -46,7 +46,7 @@
             self._figures[line.task] = figures
 
     def note_record(
-        self, offset: int, record: Record, verdicts: list[Verdict], ledger: Ledger
+        self, offset: int, record: Record, verdicts: list[ApplyResult], ledger: Ledger
     ) -> None:
         """Remember what a record decided."""
         for decision, verdict in zip(record.decisions, verdicts, strict=True):
--- a/src/linkspan/scheduler/questions.py
+++ b/src/linkspan/scheduler/questions.py
@@ -41,10 +41,10 @@
 
     def answer_for(self, node: Node) -> None:
         """Answer the messages that this daemon's peers send."""
-        node.handle(Submit, self._on_submit)
-        node.handle(Cancel, self._on_cancel)
-        node.handle(Ask, self._on_ask)
-        node.handle(Explain, self._on_explain)
+        node.register_handler(Submit, self._on_submit)
+        node.register_handler(Cancel, self._on_cancel)
+        node.register_handler(Ask, self._on_ask)
+        node.register_handler(Explain, self._on_explain)
 
     async def _on_submit(self, message: Submit) -> Message:
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
--- a/src/linkspan/scheduler/worker_orders.py
+++ b/src/linkspan/scheduler/worker_orders.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from linkspan.ledger.run_keys import run_key
-from linkspan.services.messages import Orders, RunKey, Start
+from linkspan.services.messages import AttemptKey, ExchangeRequest, StartCommand
 
 if TYPE_CHECKING:
     from linkspan.ledger.ledger import Ledger
@@ -51,12 +51,12 @@
     def __repr__(self) -> str:
         return f"WorkerOrders({self._view.name!r}, live={len(self._live)})"
 
-    def write(self, placer: Placer) -> Orders:
+    def write(self, placer: Placer) -> ExchangeRequest:
         """Return the orders; before the first report they ask for one only."""
         report = self._view.report
         if report is None:
-            return Orders()
-        return Orders(
+            return ExchangeRequest()
+        return ExchangeRequest(
             incarnation=report.spec.incarnation,
             lease_until=report.clock + self._lease_s,
             starts=self._starts(report),
@@ -66,7 +66,7 @@
             acknowledged=self._acknowledged(),
         )
 
-    def _live_runs(self) -> dict[RunKey, TaskId]:
+    def _live_runs(self) -> dict[AttemptKey, TaskId]:
         """Return the attempts that the ledger has on the worker."""
         ledger = self._ledger
         if self._number is None:
@@ -78,7 +78,7 @@
         is_recalled = self._ledger.placements[task].recalled >= 0
         return not (is_recalled or self._ledger.jobs[task.job].cancelled)
 
-    def _renewals(self) -> tuple[RunKey, ...]:
+    def _renewals(self) -> tuple[AttemptKey, ...]:
         if not self._may_renew:
             return ()
         live = self._live
@@ -86,7 +86,7 @@
             run for run in sorted(self._view.running) if run in live and self._is_wanted(live[run])
         )
 
-    def _starts(self, report: WorkerReport) -> tuple[Start, ...]:
+    def _starts(self, report: WorkerReport) -> tuple[StartCommand, ...]:
         if self._number is None or not self._may_renew or self._leaving:
             return ()
         if self._ledger.workers[self._number].spec.incarnation != report.spec.incarnation:
@@ -98,9 +98,9 @@
             if run not in known and self._is_wanted(task)
         )
 
-    def _start(self, run: RunKey, task: TaskId) -> Start:
+    def _start(self, run: AttemptKey, task: TaskId) -> StartCommand:
         entry = self._ledger.jobs[task.job]
-        return Start(
+        return StartCommand(
             run=run,
             size=self._ledger.placements[task].size,
             kind=entry.spec.kind,
@@ -109,7 +109,7 @@
             checkpoint=entry.checkpoints.get(task.index, ""),
         )
 
-    def _stops(self) -> tuple[RunKey, ...]:
+    def _stops(self) -> tuple[AttemptKey, ...]:
         view, live = self._view, self._live
         stops = {
             run
@@ -120,7 +120,7 @@
             stops |= view.running - live.keys()
         return tuple(sorted(stops))
 
-    def _throttles(self, placer: Placer) -> tuple[tuple[RunKey, float], ...]:
+    def _throttles(self, placer: Placer) -> tuple[tuple[AttemptKey, float], ...]:
         ledger = self._ledger
         if self._number is None:
             return ()
@@ -130,7 +130,7 @@
             if task in ledger.placements
         )
 
-    def _acknowledged(self) -> tuple[RunKey, ...]:
+    def _acknowledged(self) -> tuple[AttemptKey, ...]:
         if not self._knows_all:
             return ()
         return tuple(run for run in self._view.closed if run not in self._live)
--- a/src/linkspan/scheduler/worker_view.py
+++ b/src/linkspan/scheduler/worker_view.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from linkspan.services.messages import Closed, RunKey, WorkerReport
+    from linkspan.services.messages import AttemptKey, ClosedAttempt, WorkerReport
 
 
 @dataclass(slots=True)
@@ -32,8 +32,8 @@
     next_exchange: float = 0.0
     last_exchange: float = float("-inf")
     has_news: bool = True
-    running: set[RunKey] = field(default_factory=set)
-    closed: dict[RunKey, Closed] = field(default_factory=dict)
+    running: set[AttemptKey] = field(default_factory=set)
+    closed: dict[AttemptKey, ClosedAttempt] = field(default_factory=dict)
 
     def take(self, report: WorkerReport, began: float) -> None:
         """Take in a report, unless a later one is known.
--- a/src/linkspan/services/http.py
+++ b/src/linkspan/services/http.py
@@ -13,7 +13,7 @@
 from linkspan.services.wire import orders_to_json, report_from_json
 
 if TYPE_CHECKING:
-    from linkspan.services.messages import Orders, WorkerReport
+    from linkspan.services.messages import ExchangeRequest, WorkerReport
 
 _FAILURES = (aiohttp.ClientError, TimeoutError, OSError, KeyError, ValueError)
 
@@ -93,7 +93,7 @@
     def __repr__(self) -> str:
         return f"HttpWorkers(timeout_s={self._timeout.total})"
 
-    async def exchange(self, address: str, orders: Orders) -> WorkerReport:
+    async def exchange(self, address: str, orders: ExchangeRequest) -> WorkerReport:
         """Hand a worker its orders and return its report.
 
         Raises:
--- a/src/linkspan/services/messages.py
+++ b/src/linkspan/services/messages.py
@@ -9,7 +9,7 @@
 from linkspan.model.worker import WorkerSpec
 
 
-class RunKey(NamedTuple):
+class AttemptKey(NamedTuple):
     """An attempt as workers know it.
 
     Attributes:
@@ -21,7 +21,7 @@
     attempt: int
 
 
-class Start(NamedTuple):
+class StartCommand(NamedTuple):
     """Order to begin an attempt.
 
     Attributes:
@@ -33,7 +33,7 @@
         checkpoint: Where to resume, empty for the beginning.
     """
 
-    run: RunKey
+    run: AttemptKey
     size: Resources
     kind: str
     job_id: str
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class ExchangeRequest:
     """What a scheduler asks of one worker in one exchange.
 
     Attributes:
@@ -60,14 +60,14 @@
 
     incarnation: int = 0
     lease_until: float = 0.0
-    starts: tuple[Start, ...] = ()
-    renew: tuple[RunKey, ...] = ()
-    stops: tuple[RunKey, ...] = ()
-    throttles: tuple[tuple[RunKey, float], ...] = ()
-    acknowledged: tuple[RunKey, ...] = ()
+    starts: tuple[StartCommand, ...] = ()
+    renew: tuple[AttemptKey, ...] = ()
+    stops: tuple[AttemptKey, ...] = ()
+    throttles: tuple[tuple[AttemptKey, float], ...] = ()
+    acknowledged: tuple[AttemptKey, ...] = ()
 
 
-class Closed(NamedTuple):
+class ClosedAttempt(NamedTuple):
     """An attempt that does not run and never will on this worker.
 
     Attributes:
@@ -78,14 +78,14 @@
         checkpoint: Where a next attempt may resume, empty for the beginning.
     """
 
-    run: RunKey
+    run: AttemptKey
     ended: bool
     failed: bool
     started: bool
     checkpoint: str
 
 
-class Usage(NamedTuple):
+class UsageSample(NamedTuple):
     """A late measurement of one running attempt.
 
     Attributes:
@@ -95,7 +95,7 @@
         latency: For services, the 99th percentile over its target; else 0.
     """
 
-    run: RunKey
+    run: AttemptKey
     measured: float
     used: Resources
     latency: float
@@ -117,6 +117,6 @@
     spec: WorkerSpec
     clock: float
     leaving: bool = False
-    running: tuple[RunKey, ...] = ()
-    closed: tuple[Closed, ...] = ()
-    usage: tuple[Usage, ...] = ()
+    running: tuple[AttemptKey, ...] = ()
+    closed: tuple[ClosedAttempt, ...] = ()
+    usage: tuple[UsageSample, ...] = ()
--- a/src/linkspan/services/ports.py
+++ b/src/linkspan/services/ports.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
 
-from linkspan.services.messages import Orders, WorkerReport
+from linkspan.services.messages import ExchangeRequest, WorkerReport
 
 
 class LogEntry(NamedTuple):
@@ -49,7 +49,7 @@
 class WorkerPort(Protocol):
     """The platform's workers."""
 
-    async def exchange(self, address: str, orders: Orders) -> WorkerReport:
+    async def exchange(self, address: str, orders: ExchangeRequest) -> WorkerReport:
         """Hand a worker its orders and return its report.
 
         Raises:
--- a/src/linkspan/services/wire.py
+++ b/src/linkspan/services/wire.py
@@ -12,24 +12,31 @@
 from linkspan.errors import Unreachable
 from linkspan.model.resources import Resources
 from linkspan.model.worker import WorkerSpec
-from linkspan.services.messages import Closed, Orders, RunKey, Start, Usage, WorkerReport
+from linkspan.services.messages import (
+    AttemptKey,
+    ClosedAttempt,
+    ExchangeRequest,
+    StartCommand,
+    UsageSample,
+    WorkerReport,
+)
 
 
-def orders_to_json(orders: Orders) -> bytes:
+def orders_to_json(orders: ExchangeRequest) -> bytes:
     """Return the orders as JSON; tuples become arrays, field by field."""
     return orjson.dumps(orders, default=list)
 
 
-def orders_from_json(body: bytes) -> Orders:
+def orders_from_json(body: bytes) -> ExchangeRequest:
     """Return the orders of a JSON form made by :func:`orders_to_json`."""
     fields = orjson.loads(body)
-    return Orders(
+    return ExchangeRequest(
         incarnation=fields["incarnation"],
         lease_until=fields["lease_until"],
         starts=tuple(_start(row) for row in fields["starts"]),
         renew=_runs(fields["renew"]),
         stops=_runs(fields["stops"]),
-        throttles=tuple((RunKey(*run), share) for run, share in fields["throttles"]),
+        throttles=tuple((AttemptKey(*run), share) for run, share in fields["throttles"]),
         acknowledged=_runs(fields["acknowledged"]),
     )
 
@@ -59,18 +66,18 @@
         clock=float(fields["clock"]),
         leaving=bool(fields["leaving"]),
         running=_runs(fields["running"]),
-        closed=tuple(Closed(RunKey(*row[0]), *row[1:]) for row in fields["closed"]),
+        closed=tuple(ClosedAttempt(AttemptKey(*row[0]), *row[1:]) for row in fields["closed"]),
         usage=tuple(
-            Usage(RunKey(*run), measured, Resources(*used), latency)
+            UsageSample(AttemptKey(*run), measured, Resources(*used), latency)
             for run, measured, used, latency in fields["usage"]
         ),
     )
 
 
-def _runs(rows: list[list[Any]]) -> tuple[RunKey, ...]:
-    return tuple(RunKey(*row) for row in rows)
+def _runs(rows: list[list[Any]]) -> tuple[AttemptKey, ...]:
+    return tuple(AttemptKey(*row) for row in rows)
 
 
-def _start(row: list[Any]) -> Start:
+def _start(row: list[Any]) -> StartCommand:
     run, size, kind, job_id, index, checkpoint = row
-    return Start(RunKey(*run), Resources(*size), kind, job_id, index, checkpoint)
+    return StartCommand(AttemptKey(*run), Resources(*size), kind, job_id, index, checkpoint)
--- a/src/linkspan/shard/handover/summary.py
+++ b/src/linkspan/shard/handover/summary.py
@@ -7,8 +7,15 @@
 
 import orjson
 
-from linkspan._typed import MOST_NUMBER, MOST_WHOLE, number, rows, text, whole
-from linkspan._typed import fields as fields_of
+from linkspan._typed import (
+    MAX_EXACT_INT,
+    MAX_FLOAT,
+    parse_int,
+    parse_list,
+    parse_number,
+    parse_object,
+    parse_text,
+)
 from linkspan.errors import RecordError
 from linkspan.jobs.spec import Demand
 from linkspan.shard.messages import ExecutorKind, can_run, kinds_of
@@ -110,16 +117,21 @@
             kinds = rest[1] if len(rest) > 1 else None
             larger = rest[2] if len(rest) > 2 else ()
             return cls(
-                whole(capacity),
+                parse_int(capacity),
                 _signed(free),
-                whole(best_effort),
-                whole(waiting),
-                whole(queued),
-                {text(image): whole(held) for image, held in fields_of(standing).items()},
-                tuple(_effect(rows(row)) for row in rows(effects)),
-                tuple(_room(rows(row)) for row in rows(rooms)),
-                None if kinds is None else tuple(_kind(rows(row)) for row in rows(kinds)),
-                tuple(_larger(rows(row)) for row in rows(larger)),
+                parse_int(best_effort),
+                parse_int(waiting),
+                parse_int(queued),
+                {
+                    parse_text(image): parse_int(held)
+                    for image, held in parse_object(standing).items()
+                },
+                tuple(_effect(parse_list(row)) for row in parse_list(effects)),
+                tuple(_room(parse_list(row)) for row in parse_list(rooms)),
+                None
+                if kinds is None
+                else tuple(_kind(parse_list(row)) for row in parse_list(kinds)),
+                tuple(_larger(parse_list(row)) for row in parse_list(larger)),
             )
         except (ValueError, TypeError) as error:
             raise RecordError(f"hall summary {orjson.dumps(fields)!r:.60}: {error!r}") from error
@@ -127,13 +139,16 @@
 
 def _signed(value: object) -> int:
     # Where room is not guarded, more may be reserved than there is.
-    return whole(value, least=-MOST_WHOLE)
+    return parse_int(value, minimum=-MAX_EXACT_INT)
 
 
 def _effect(row: list[Any]) -> PairEffect:
     standing, image, mean, variance, *_ = row
     return PairEffect(
-        text(standing), text(image), number(mean, least=-MOST_NUMBER), number(variance)
+        parse_text(standing),
+        parse_text(image),
+        parse_number(mean, minimum=-MAX_FLOAT),
+        parse_number(variance),
     )
 
 
@@ -152,17 +167,17 @@
 
 def _kind(row: list[Any]) -> ExecutorKind:
     service, size, labels, count, *_ = row
-    named = frozenset(text(label) for label in rows(labels))
-    return ExecutorKind(text(service), _size(size), named, whole(count))
+    named = frozenset(parse_text(label) for label in parse_list(labels))
+    return ExecutorKind(parse_text(service), _size(size), named, parse_int(count))
 
 
 def _larger(row: list[Any]) -> tuple[str, Demand]:
     service, size, *_ = row
-    return text(service), _size(size)
+    return parse_text(service), _size(size)
 
 
 def _size(row: object) -> Demand:
-    milli_cpu, memory_mb, gpus, *_ = (whole(part) for part in rows(row))
+    milli_cpu, memory_mb, gpus, *_ = (parse_int(part) for part in parse_list(row))
     return Demand(milli_cpu, memory_mb, gpus)
 
 
--- a/src/linkspan/shard/ownership/ownership.py
+++ b/src/linkspan/shard/ownership/ownership.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from linkspan._typed import rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_text
 from linkspan.errors import RecordError
 from linkspan.shard.handover.summary import HallSummary, PairEffect
 
@@ -90,9 +90,9 @@
             RecordError: They are no record of ownership.
         """
         try:
-            act, host, incarnation, token, number, *rest = rows(orjson.loads(value))
-            named = OwnerAct(text(act)), text(host), text(incarnation)
-            return cls(*named, whole(token), whole(number), _summary(rest))
+            act, host, incarnation, token, number, *rest = parse_list(orjson.loads(value))
+            named = OwnerAct(parse_text(act)), parse_text(host), parse_text(incarnation)
+            return cls(*named, parse_int(token), parse_int(number), _summary(rest))
         except (ValueError, TypeError) as error:
             raise RecordError(f"ownership record: {error!r}; it is passed over") from error
 
@@ -103,7 +103,7 @@
     The renewal itself stands: else hosts of two versions would take a shard from each other.
     """
     try:
-        return HallSummary.decode(rows(rest[0])) if rest else None
+        return HallSummary.decode(parse_list(rest[0])) if rest else None
     except (RecordError, TypeError):
         return None
 
--- a/src/linkspan/shard/planning/urgency.py
+++ b/src/linkspan/shard/planning/urgency.py
@@ -87,7 +87,7 @@
     """Return the seconds since a step's repetition was due, and those that it still needs."""
     job = step.run.job
     schedule = job.spec.schedule
-    born = schedule.due(step.run.repetition) if schedule else job.submitted.accepted
+    born = schedule.due(step.run.repetition) if schedule else job.submitted.accepted_at
     done_s = job.expected_durations_s[step.index] * (1.0 - step.share_left)
     return wall - born, job.remaining_path_s[step.index] - done_s
 
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -12,7 +12,7 @@
 from linkspan.shard.leases import inherited_lease_expiry
 from linkspan.shard.recovery.progress import ROSTER_KEY, decode_roster, moved_to, parse_key
 from linkspan.shard.reports._watch import RETRY_S
-from linkspan.store.listing import Listing
+from linkspan.store.keyed_snapshot import KeyedSnapshot
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -114,13 +114,13 @@
 
     async def _read_progress(self) -> dict[bytes, bytes]:
         """Return the records of the shard; pages that came are kept over failures."""
-        listing = Listing(self._store, self._partition)
+        listing = KeyedSnapshot(self._store, self._partition)
         while True:
             try:
                 await self._until_stored(listing.read)
             except LogGap:
                 # What was written meanwhile, by this tenure's fence, is gone already.
-                listing = Listing(self._store, self._partition)
+                listing = KeyedSnapshot(self._store, self._partition)
                 await asyncio.sleep(RETRY_S)
                 continue
             newest = {entry.key: entry.value for entry in listing.entries}
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from linkspan._typed import MOST_WHOLE, parse_started_at_ms, rows, text, whole
+from linkspan._typed import MAX_EXACT_INT, parse_int, parse_list, parse_started_at_ms, parse_text
 from linkspan.jobs.crash import Crash
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.crash_history import CrashHistory
@@ -122,34 +122,36 @@
         task.done = True
         return
     # Later versions may tell more behind it.
-    if whole(rows(row)[0], least=-MOST_WHOLE) < 0:
+    if parse_int(parse_list(row)[0], minimum=-MAX_EXACT_INT) < 0:
         _restore_lent(task, row)
         return
     next_run, failures, checkpoint, attempts, delegation, *more = row
     crashes, points, failed, named, put_off, saved_by, limit = _padded(EMPTY, more)
     if limit:
-        most, *version = rows(limit)
-        task.step.run.job.take_limit(whole(most), whole(version[0]) if version else None)
+        most, *version = parse_list(limit)
+        task.step.run.job.take_limit(parse_int(most), parse_int(version[0]) if version else None)
     task.crash_history = _suspicion(crashes, points, named, put_off)
-    task.next_run = whole(next_run, least=1)
+    task.next_run = parse_int(next_run, minimum=1)
     task.checkpoint, task.saved_by, task.delegation_number = (
-        text(checkpoint),
-        whole(saved_by),
-        whole(delegation),
+        parse_text(checkpoint),
+        parse_int(saved_by),
+        parse_int(delegation),
     )
-    task.attempts += [_attempt(task, rows(fields), now) for fields in rows(attempts)]
+    task.attempts += [_attempt(task, parse_list(fields), now) for fields in parse_list(attempts)]
     # What may be running had not failed by then.
     below = min([task.next_run, *(attempt.run for attempt in task.attempts)])
-    task.failed = _failures(whole(failures), rows(failed), below)
+    task.failed = _failures(parse_int(failures), parse_list(failed), below)
 
 
 def _restore_lent(task: Task, row: list[Any]) -> None:
     first, delegation, next_run, *more = row
     task.managed_by = -1 - first
-    task.delegation_number, task.next_run = whole(delegation), whole(next_run, least=1)
+    task.delegation_number, task.next_run = parse_int(delegation), parse_int(next_run, minimum=1)
     *crashes, excused = _padded(EMPTY_DELEGATED, more)
     task.crash_history = _suspicion(*crashes)
-    task.retracted_crashes = {incarnation_name(rows(incarnation)) for incarnation in rows(excused)}
+    task.retracted_crashes = {
+        incarnation_name(parse_list(incarnation)) for incarnation in parse_list(excused)
+    }
 
 
 def _padded(empty: tuple[Any, ...], fields: list[Any]) -> list[Any]:
@@ -164,14 +166,19 @@
 
 def _suspicion(crashes: Any, points: Any, named: Any, put_off: Any) -> CrashHistory | None:
     """Return what a record says against a task; records of earlier versions name no crash."""
-    if not (whole(crashes) and whole(points)):
+    if not (parse_int(crashes) and parse_int(points)):
         return None
     names = tuple(
-        Crash(incarnation_name(incarnation), whole(run), whole(counts)).with_certainty(whole(known))
-        for run, counts, known, *incarnation in map(rows, rows(named))
+        Crash(incarnation_name(incarnation), parse_int(run), parse_int(counts)).with_certainty(
+            parse_int(known)
+        )
+        for run, counts, known, *incarnation in map(parse_list, parse_list(named))
     )
     return CrashHistory(
-        whole(crashes), whole(points), identified_crashes=names, give_up_deferred=whole(put_off) > 0
+        parse_int(crashes),
+        parse_int(points),
+        identified_crashes=names,
+        give_up_deferred=parse_int(put_off) > 0,
     )
 
 
@@ -184,8 +191,8 @@
         below: Number that is above those of all runs that it counts.
     """
     names = frozenset(
-        FailedRun(whole(number), incarnation_name(incarnation))
-        for number, *incarnation in map(rows, named)
+        FailedRun(parse_int(number), incarnation_name(incarnation))
+        for number, *incarnation in map(parse_list, named)
     )
     return Failures(names, max(count - len(names), 0), below)
 
@@ -194,12 +201,12 @@
     """Return an attempt of a record, which a start may be on its way for."""
     number, *place = fields
     attempt = Attempt(
-        task, whole(number), incarnation_name(place), Phase.INHERITED, now, recovered=True
+        task, parse_int(number), incarnation_name(place), Phase.INHERITED, now, recovered=True
     )
     if len(place) > 2:
-        attempt.starts = whole(place[2], least=1)
+        attempt.starts = parse_int(place[2], minimum=1)
         attempt.start_may_arrive_until = now + MAX_START_DELAY_S
-    attempt.carried_over = len(place) > 3 and whole(place[3]) > 0
+    attempt.carried_over = len(place) > 3 and parse_int(place[3]) > 0
     return attempt
 
 
@@ -230,5 +237,5 @@
     """Return the name of a life that a record holds; one without a birth is some life of its id."""
     executor_id, *started_at_ms = fields
     return Incarnation(
-        text(executor_id), parse_started_at_ms(started_at_ms[0]) if started_at_ms else None
+        parse_text(executor_id), parse_started_at_ms(started_at_ms[0]) if started_at_ms else None
     ).name
--- a/src/linkspan/shard/recovery/progress.py
+++ b/src/linkspan/shard/recovery/progress.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from linkspan._typed import rows, text, whole
+from linkspan._typed import parse_int, parse_list, parse_text
 from linkspan.errors import RecordError
 from linkspan.jobs.spec import Demand
 from linkspan.shard.incarnation import Incarnation
@@ -74,7 +74,7 @@
     if not value.startswith(b"{"):
         return None
     try:
-        return whole(orjson.loads(value)["moved"])
+        return parse_int(orjson.loads(value)["moved"])
     except (ValueError, TypeError, KeyError) as error:
         raise RecordError(f"progress record {value!r:.60}: {error!r}") from error
 
@@ -88,8 +88,8 @@
         RecordError: The bytes are no progress of this job.
     """
     try:
-        for step, listed in zip(run.steps, rows(orjson.loads(value)), strict=True):
-            for task, row in zip(step.tasks, rows(listed), strict=True):
+        for step, listed in zip(run.steps, parse_list(orjson.loads(value)), strict=True):
+            for task, row in zip(step.tasks, parse_list(listed), strict=True):
                 restore_task(task, row, now)
             step.remaining_tasks = sum(not task.done for task in step.tasks)
     except (ValueError, TypeError, IndexError) as error:
@@ -135,7 +135,7 @@
         RecordError: The bytes are no roster.
     """
     try:
-        return tuple(_executor(rows(row)) for row in rows(orjson.loads(value)))
+        return tuple(_executor(parse_list(row)) for row in parse_list(orjson.loads(value)))
     except (ValueError, TypeError) as error:
         raise RecordError(f"roster: {error!r}") from error
 
@@ -143,17 +143,17 @@
 def _executor(row: list[Any]) -> ExecutorRecord:
     # Later versions may tell more behind it.
     name, service, address, hall, room, labels, rack, *incarnation = row
-    milli_cpu, memory_mb, gpus, *_ = (whole(size) for size in rows(room))
+    milli_cpu, memory_mb, gpus, *_ = (parse_int(size) for size in parse_list(room))
     return ExecutorRecord(
         incarnation_name([name, *incarnation]),
-        text(service),
-        text(address),
-        text(hall),
+        parse_text(service),
+        parse_text(address),
+        parse_text(hall),
         Demand(milli_cpu, memory_mb, gpus),
-        frozenset(text(label) for label in rows(labels)),
-        text(rack),
+        frozenset(parse_text(label) for label in parse_list(labels)),
+        parse_text(rack),
         is_placeholder=incarnation[:1] == [None],
-        withheld_ends=tuple(whole(number) for number in rows(incarnation[1]))
+        withheld_ends=tuple(parse_int(number) for number in parse_list(incarnation[1]))
         if len(incarnation) > 1
         else (),
     )
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -203,7 +203,7 @@
             for stop in stop_listening:
                 stop()
 
-    async def hand_on(self, limit_s: float) -> None:
+    async def hand_off(self, limit_s: float) -> None:
         """Stop giving orders and make what is known durable, within a time limit."""
         self._proof.stop()
         self._watch.cancel()
--- a/src/linkspan/store/follower.py
+++ b/src/linkspan/store/follower.py
@@ -7,7 +7,7 @@
 
 from linkspan.clock import steady
 from linkspan.errors import LogGap, StoreRefused, StoreUnanswered
-from linkspan.store.listing import Listing
+from linkspan.store.keyed_snapshot import KeyedSnapshot
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -76,7 +76,7 @@
         self._ready = asyncio.Event()
         self._wanted = asyncio.Event()
         self._wanted.set()
-        self._listing = Listing(store, partition)
+        self._listing = KeyedSnapshot(store, partition)
         self._reading: asyncio.Task[None] | None = None
         self.pause_s = pause_s
         self.wait_s = WAIT_S
@@ -235,9 +235,9 @@
         try:
             synced_at = await listing.read()
         except LogGap:
-            self._listing = Listing(self._store, self._partition)
+            self._listing = KeyedSnapshot(self._store, self._partition)
             return
-        self._listing = Listing(self._store, self._partition)
+        self._listing = KeyedSnapshot(self._store, self._partition)
         self._unlisted = False
         self._heard_at = steady()
         self._offset = self._end = listing.end
--- a/src/linkspan/store/listing.py
+++ b/src/linkspan/store/keyed_snapshot.py
@@ -12,7 +12,7 @@
     from linkspan.store.types import Entry, Partition, Store
 
 
-class Listing:
+class KeyedSnapshot:
     """Reads the newest records; what came is kept over calls that fail.
 
     Args:
@@ -29,7 +29,7 @@
         self._by_offset: dict[int, Entry] = {}
 
     def __repr__(self) -> str:
-        return f"Listing({self._partition}, {len(self._by_offset)} records, end={self._end})"
+        return f"KeyedSnapshot({self._partition}, {len(self._by_offset)} records, end={self._end})"
 
     @property
     def entries(self) -> tuple[Entry, ...]:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from linkspan.ledger.ledger import Ledger, Verdict
+from linkspan.ledger.ledger import ApplyResult, Ledger
 from linkspan.ledger.records import Decision, Record, Submitted, WorkerSeen
 from linkspan.model.job import JobSpec, Priority
 from linkspan.model.resources import Resources
@@ -45,7 +45,7 @@
     def __init__(self, hall: str = "rennes-a") -> None:
         self.ledger = Ledger(hall)
 
-    def apply(self, *decisions: Decision, read_offset: int | None = None) -> list[Verdict]:
+    def apply(self, *decisions: Decision, read_offset: int | None = None) -> list[ApplyResult]:
         """Fold in one record of these decisions."""
         offset = self.ledger.next_offset
         read = offset if read_offset is None else read_offset
--- a/tests/config/test_store.py
+++ b/tests/config/test_store.py
@@ -7,7 +7,7 @@
 
 from linkspan.config.store import (
     Change,
-    ChangeVerdict,
+    ChangeResult,
     ConfigState,
     ConfigStore,
     decode_config,
@@ -24,17 +24,17 @@
 
 def test_first_of_two_racing_changes_wins_and_the_other_is_told_what_changed() -> None:
     store = ConfigStore()
-    assert store.apply(0, _change("a", 0, "quotas/maps")) == ChangeVerdict(True, 1)
+    assert store.apply(0, _change("a", 0, "quotas/maps")) == ChangeResult(True, 1)
     lost = store.apply(1, _change("b", 0, "quotas/maps", "quotas/feeds"))
     reason = "changed since version 0; read them and offer it again"
-    assert lost == ChangeVerdict(False, 1, reason, ("quotas/maps",))
+    assert lost == ChangeResult(False, 1, reason, ("quotas/maps",))
     assert "quotas/feeds" not in store.state.document
 
 
 def test_changes_of_other_keys_on_an_old_base_are_both_accepted() -> None:
     store = ConfigStore()
     store.apply(0, _change("a", 0, "quotas/maps"))
-    assert store.apply(1, _change("b", 0, "quotas/feeds")) == ChangeVerdict(True, 2)
+    assert store.apply(1, _change("b", 0, "quotas/feeds")) == ChangeResult(True, 2)
 
 
 def test_same_change_twice_is_one_change() -> None:
@@ -64,7 +64,7 @@
 def test_rubbish_on_the_stream_is_passed_over() -> None:
     store = ConfigStore()
     assert store.apply(0, b"\xff{") is None
-    assert store.apply(1, _change("a", 0, "quotas/maps")) == ChangeVerdict(True, 2)
+    assert store.apply(1, _change("a", 0, "quotas/maps")) == ChangeResult(True, 2)
 
 
 CHANGES = st.lists(
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -14,7 +14,7 @@
 from linkspan.metrics import HostMetrics
 from linkspan.model.configuration import Configuration, Service
 from linkspan.model.settings import Bounds, HostSettings, StoreLimits
-from linkspan.platform.jobs import CallerBodies
+from linkspan.platform.jobs import JsonCallerFormat
 from linkspan.platform.records import executor_from_wire
 from linkspan.shard._context import Executors
 from linkspan.shard.planning.advice import PolicyService
@@ -50,11 +50,11 @@
         """Promises broken, and errors that the product did not expect."""
         self.look_at_records()
         crashes = [f"CRASHED {fields}" for fields in self.log.named("CRASHED")]
-        return self.broken + crashes
+        return self.violations + crashes
 
     def look_at_records(self) -> None:
         """Judge the final states that are on record since the last look."""
-        self.broken += self.failed_jobs.look(self.store.log(JOBS).entries)
+        self.violations += self.failed_jobs.look(self.store.log(JOBS).entries)
 
     async def begin(self) -> None:
         """Start executors and hosts and let them settle."""
@@ -89,7 +89,7 @@
             executors=lambda token: self.link(name, token),
             machines=self if self.lists_machines else None,
             policy=self.policy,
-            bodies=CallerBodies(),
+            bodies=JsonCallerFormat(),
             configuration_records=CONFIGURATION,
             configuration_key=b"config",
             executor_records=EXECUTORS,
--- a/tests/host/overlapping_day.py
+++ b/tests/host/overlapping_day.py
@@ -97,7 +97,7 @@
             books = [
                 (name, running.host.job_registry) for name, running in self.world.hosts.items()
             ]
-            self.world.broken += self.world.one_hall.compare(books)
+            self.world.violations += self.world.one_hall.compare(books)
 
     async def _trouble(self, at: float) -> None:
         name = self.random.choice(sorted(TROUBLES))
@@ -151,7 +151,7 @@
             names = sorted(world.hosts)
             if names and await world.ask(random.choice(names), job_id) == "410":
                 now = asyncio.get_running_loop().time()
-                world.broken.append(f"{now:.2f} LOST {job_id} is not known")
+                world.violations.append(f"{now:.2f} LOST {job_id} is not known")
 
     def some_hosts(self) -> list[str]:
         """Return one host, some hosts, an owner, or all but one or two."""
@@ -183,7 +183,7 @@
             for name in sorted(world.hosts):
                 state = await world.state(name, job_id)
                 if state not in right:
-                    world.broken.append(f"LOST {job_id} is {state} at {name}")
+                    world.violations.append(f"LOST {job_id} is {state} at {name}")
             if steps[0].standing:
                 self._find_standing(job_id, steps[0].count)
 
@@ -192,7 +192,7 @@
         running = {task for e in executors for task in e.running if task.job_id == job_id}
         for index in range(count):
             if TaskName(job_id, 0, 0, index) not in running:
-                self.world.broken.append(f"LOST task {index} of {job_id} does not run")
+                self.world.violations.append(f"LOST task {index} of {job_id} does not run")
 
 
 @trouble
--- a/tests/host/standing_day.py
+++ b/tests/host/standing_day.py
@@ -127,7 +127,7 @@
             since = self._away_since.setdefault(task, now)
             if now - since > IDLE_S and task not in self._told:
                 self._told.add(task)
-                self.world.broken.append(f"{now:.2f} LOST {task} does not run beside room")
+                self.world.violations.append(f"{now:.2f} LOST {task} does not run beside room")
 
     def _has_room(self, task: TaskName, spec: StepSpec) -> bool:
         slots = 0
--- a/tests/host/test_hall_world.py
+++ b/tests/host/test_hall_world.py
@@ -150,7 +150,7 @@
     for job_id in world.accepted:
         state = await world.state("east-host-0", job_id)
         if state not in ("succeeded", "failed"):
-            world.broken.append(f"LOST {job_id} is {state}")
+            world.violations.append(f"LOST {job_id} is {state}")
     return world
 
 
--- a/tests/host/test_wide_days.py
+++ b/tests/host/test_wide_days.py
@@ -70,10 +70,10 @@
         executor.lapsed_at = executor.now + 2.0
         world.judge_acknowledged(executor, done)
         assert len(world.excused) == 1
-        assert world.broken == []
+        assert world.violations == []
         executor.lapsed_at = executor.now - 2.0
         world.judge_acknowledged(executor, done)
         return world
 
-    (line,) = run_virtual(play()).broken
+    (line,) = run_virtual(play()).violations
     assert "began again after its end" in line
--- a/tests/lapses.py
+++ b/tests/lapses.py
@@ -25,10 +25,10 @@
     excused: list[str] = field(default_factory=list)
 
     def judge_acknowledged(self, executor: MemoryExecutor, end: EndedTask) -> None:
-        before = len(self.broken)
+        before = len(self.violations)
         super().judge_acknowledged(executor, end)
         if end.kind is not EndKind.DONE:
             return
         if executor.lapsed_at >= self.done_runs_at[executor.incarnation_name, end.task, end.run]:
-            self.excused += self.broken[before:]
-            del self.broken[before:]
+            self.excused += self.violations[before:]
+            del self.violations[before:]
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from linkspan.ledger.job_entry import JobCounts, TaskState
-from linkspan.ledger.ledger import MAX_FAILURES, WINDOW, Ledger, Verdict
+from linkspan.ledger.ledger import MAX_FAILURES, WINDOW, ApplyResult, Ledger
 from linkspan.ledger.records import (
     Cancelled,
     Ended,
@@ -31,36 +31,36 @@
 
 def _placed(**changes: object) -> LedgerBuilder:
     built = LedgerBuilder().with_worker().with_job(job(**changes))
-    assert built.apply(Placed(A1, 1)) == [Verdict.APPLIED]
+    assert built.apply(Placed(A1, 1)) == [ApplyResult.APPLIED]
     return built
 
 
 def test_same_id_is_one_job_other_content_a_conflict() -> None:
     built = LedgerBuilder().with_job(job("a"))
-    assert built.apply(Submitted(job("a"))) == [Verdict.DUPLICATE]
-    assert built.apply(Submitted(job("a", count=2))) == [Verdict.CONFLICT]
+    assert built.apply(Submitted(job("a"))) == [ApplyResult.DUPLICATE]
+    assert built.apply(Submitted(job("a", count=2))) == [ApplyResult.CONFLICT]
     assert list(built.ledger.jobs) == [1]
 
 
 def test_same_id_after_the_end_is_still_one_job() -> None:
     built = _placed()
     built.apply(Ended(A1, Outcome.SUCCEEDED))
-    assert built.apply(Submitted(job())) == [Verdict.DUPLICATE]
+    assert built.apply(Submitted(job())) == [ApplyResult.DUPLICATE]
     assert built.ledger.jobs == {}
 
 
 def test_placement_names_the_exact_attempt() -> None:
     built = _placed()
-    assert built.apply(Placed(A1, 1)) == [Verdict.WRONG_STATE]
-    assert built.apply(Placed(A2, 1)) == [Verdict.WRONG_STATE]
-    assert built.apply(Placed(AttemptId(9, 0, 1), 1)) == [Verdict.UNKNOWN]
-    assert built.apply(Placed(AttemptId(1, 5, 1), 1)) == [Verdict.UNKNOWN]
+    assert built.apply(Placed(A1, 1)) == [ApplyResult.WRONG_STATE]
+    assert built.apply(Placed(A2, 1)) == [ApplyResult.WRONG_STATE]
+    assert built.apply(Placed(AttemptId(9, 0, 1), 1)) == [ApplyResult.UNKNOWN]
+    assert built.apply(Placed(AttemptId(1, 5, 1), 1)) == [ApplyResult.UNKNOWN]
 
 
 def test_placement_must_fit_what_is_left() -> None:
     built = LedgerBuilder().with_worker(worker(cores=3)).with_job(job(count=5))
     verdicts = built.apply(*(Placed(AttemptId(1, n, 1), 1) for n in range(5)))
-    assert verdicts == [Verdict.APPLIED] * 3 + [Verdict.NO_ROOM] * 2
+    assert verdicts == [ApplyResult.APPLIED] * 3 + [ApplyResult.NO_ROOM] * 2
     assert built.ledger.workers[1].room == Resources(0, 0, 0)
 
 
@@ -76,13 +76,13 @@
     built = LedgerBuilder().with_worker()
     for _ in range(WINDOW):
         built.apply()
-    assert built.apply(Submitted(job()), read_offset=0) == [Verdict.LATE]
+    assert built.apply(Submitted(job()), read_offset=0) == [ApplyResult.LATE]
 
 
 def test_cancel_before_arrival_keeps_the_job_out() -> None:
     built = LedgerBuilder()
     built.apply(Cancelled("job"))
-    assert built.apply(Submitted(job())) == [Verdict.CANCELLED]
+    assert built.apply(Submitted(job())) == [ApplyResult.CANCELLED]
 
 
 def test_cancelled_queued_tasks_are_not_run() -> None:
@@ -105,26 +105,29 @@
 def test_watcher_starts_again_only_after_its_end() -> None:
     built = LedgerBuilder().with_worker().with_job(watcher())
     built.apply(Placed(A1, 1))
-    assert built.apply(Placed(A2, 1)) == [Verdict.WRONG_STATE]
+    assert built.apply(Placed(A2, 1)) == [ApplyResult.WRONG_STATE]
     built.apply(Ended(A1, Outcome.FAILED))
-    assert built.apply(Placed(A2, 1)) == [Verdict.APPLIED]
+    assert built.apply(Placed(A2, 1)) == [ApplyResult.APPLIED]
 
 
 def test_evicted_attempt_resumes_once_from_its_checkpoint() -> None:
     built = _placed()
-    assert built.apply(Evicted(A1, "half", True)) == [Verdict.APPLIED]
-    assert built.apply(Evicted(A1, "less", True)) == [Verdict.WRONG_STATE]
+    assert built.apply(Evicted(A1, "half", True)) == [ApplyResult.APPLIED]
+    assert built.apply(Evicted(A1, "less", True)) == [ApplyResult.WRONG_STATE]
     assert built.ledger.jobs[1].checkpoints == {0: "half"}
-    assert built.apply(Placed(A2, 1), Placed(A2, 1)) == [Verdict.APPLIED, Verdict.WRONG_STATE]
+    assert built.apply(Placed(A2, 1), Placed(A2, 1)) == [
+        ApplyResult.APPLIED,
+        ApplyResult.WRONG_STATE,
+    ]
 
 
 def test_recalled_attempt_needs_a_proof() -> None:
     built = _placed()
-    assert built.apply(Lapsed(A1)) == [Verdict.WRONG_STATE]
-    assert built.apply(Recalled(A1)) == [Verdict.APPLIED]
-    assert built.apply(Placed(A2, 1)) == [Verdict.WRONG_STATE]
-    assert built.apply(Lapsed(A1)) == [Verdict.APPLIED]
-    assert built.apply(Placed(A2, 1)) == [Verdict.APPLIED]
+    assert built.apply(Lapsed(A1)) == [ApplyResult.WRONG_STATE]
+    assert built.apply(Recalled(A1)) == [ApplyResult.APPLIED]
+    assert built.apply(Placed(A2, 1)) == [ApplyResult.WRONG_STATE]
+    assert built.apply(Lapsed(A1)) == [ApplyResult.APPLIED]
+    assert built.apply(Placed(A2, 1)) == [ApplyResult.APPLIED]
 
 
 def test_unproven_end_of_what_must_not_repeat_is_lost_not_repeated() -> None:
@@ -141,10 +144,10 @@
 
 def test_new_incarnation_proves_the_end_of_what_ran() -> None:
     built = _placed()
-    assert built.apply(WorkerSeen(worker(incarnation=2))) == [Verdict.APPLIED]
+    assert built.apply(WorkerSeen(worker(incarnation=2))) == [ApplyResult.APPLIED]
     assert built.ledger.placements == {}
-    assert built.apply(WorkerSeen(worker(incarnation=1))) == [Verdict.WRONG_STATE]
-    assert built.apply(Placed(A2, 1)) == [Verdict.APPLIED]
+    assert built.apply(WorkerSeen(worker(incarnation=1))) == [ApplyResult.WRONG_STATE]
+    assert built.apply(Placed(A2, 1)) == [ApplyResult.APPLIED]
 
 
 RECORDS = st.lists(
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -16,7 +16,7 @@
 
 from linkspan.config.store import ConfigState, ConfigStore
 from linkspan.ledger.job_entry import TaskState
-from linkspan.ledger.ledger import Ledger, Verdict, WorkerEntry
+from linkspan.ledger.ledger import ApplyResult, Ledger, WorkerEntry
 from linkspan.model.resources import Resources
 from linkspan.routing.shares import ShareTable, slot_owners
 from linkspan.scheduler.core import SchedulerCore
@@ -54,18 +54,18 @@
     return self._seen.get(recalled, float("inf")) + self._timing.lease_bound_s
 
 
-def _requeue_recalled(self: Ledger, offset: int, attempt: Any) -> Verdict:
+def _requeue_recalled(self: Ledger, offset: int, attempt: Any) -> ApplyResult:
     entry = self._live(attempt)
     if entry is None:
-        return Verdict.WRONG_STATE
+        return ApplyResult.WRONG_STATE
     self._release_unproven(entry, attempt)
-    return Verdict.APPLIED
+    return ApplyResult.APPLIED
 
 
-def _not_run_if_cancelled(self: Ledger, offset: int, job_id: str) -> Verdict:
+def _not_run_if_cancelled(self: Ledger, offset: int, job_id: str) -> ApplyResult:
     number = self.job_numbers.get(job_id)
     if number is None:
-        return Verdict.UNKNOWN
+        return ApplyResult.UNKNOWN
     entry = self.jobs[number]
     entry.cancelled = True
     for task in [t for t in self.placements if t.job == number]:
@@ -75,7 +75,7 @@
     table = bytes.maketrans(bytes([TaskState.QUEUED]), bytes([TaskState.CANCELLED]))
     entry.states = entry.states.translate(table)
     self._finish_if_over(entry)
-    return Verdict.APPLIED
+    return ApplyResult.APPLIED
 
 
 def _repeat_unproven(self: Ledger, entry: Any, attempt: Any) -> None:
--- a/tests/placement/test_learning.py
+++ b/tests/placement/test_learning.py
@@ -169,10 +169,10 @@
 def test_preemption_makes_room_and_spares_who_it_can(sites: list[Site], size: Resources) -> None:
     chosen = cheapest_preemption(size, sites)
     rooms = [sum((v.size for v in site.victims), site.room) for site in sites]
-    assert (chosen is not None) == any(size.fits(room) for room in rooms)
+    assert (chosen is not None) == any(size.fits_within(room) for room in rooms)
     if chosen is None:
         return
     site = next(s for s in sites if s.worker == chosen.worker)
     room = sum((v.size for v in chosen.victims), site.room)
-    assert size.fits(room)
-    assert all(not size.fits(room - victim.size) for victim in chosen.victims)
+    assert size.fits_within(room)
+    assert all(not size.fits_within(room - victim.size) for victim in chosen.victims)
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -13,7 +13,7 @@
 from linkspan.placement.placer import Obstacle, PlacementRules, PolicyPlacer
 from linkspan.placement.policies import BestFit
 from linkspan.selectors.selector import parse_selector
-from linkspan.services.messages import RunKey, Usage, WorkerReport
+from linkspan.services.messages import AttemptKey, UsageSample, WorkerReport
 from tests.builders import LedgerBuilder, job, worker
 
 SPECS = st.builds(
@@ -47,7 +47,7 @@
             used[number] += entry.size
             if entry.spec.team == "maps" and entry.spec.priority is not Priority.WATCHER:
                 teams += entry.size
-        assert all(used[n].fits(built.ledger.workers[n].spec.size) for n in used)
+        assert all(used[n].fits_within(built.ledger.workers[n].spec.size) for n in used)
         assert teams.milli_cpu <= quota
 
 
@@ -124,8 +124,8 @@
     built = LedgerBuilder().with_worker().with_job(job(count=2))
     built.apply(Placed(AttemptId(1, 0, 1), 1))
     placer = LearnedPlacer()
-    run = RunKey("rennes-a/1.0", 1)
-    usage = Usage(run, 9.0, Resources(2_500, 800), 0.0)
+    run = AttemptKey("rennes-a/1.0", 1)
+    usage = UsageSample(run, 9.0, Resources(2_500, 800), 0.0)
     report = WorkerReport(worker(), 10.0, running=(run,), usage=(usage,))
     placer.observe(report, built.ledger, 0.0)
     assert list(placer.resizes(built.ledger)) == [Resized(1, Resources(2_500, 1_000))]
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -71,7 +71,7 @@
     assert first == again
     with pytest.raises(ProducerGap) as gap:
         await client.append(PLAIN, [Record(b"c")], producer=Producer("p", 2, 5))
-    assert gap.value.wanted == 2
+    assert gap.value.expected_sequence == 2
     await client.append(PLAIN, [], producer=Producer("p", 3, 1))
     with pytest.raises(ProducerFenced) as fenced:
         await client.append(PLAIN, [Record(b"b")], producer=Producer("p", 2, 2))
--- a/tests/run_judge.py
+++ b/tests/run_judge.py
@@ -38,7 +38,7 @@
     """Keeps what was asked for and done, and what of it broke a promise.
 
     Attributes:
-        broken: Promises that were broken.
+        violations: Promises that were broken.
         queue: What jobs are sent to, as it was configured when they were accepted.
         specs: Jobs that were sent.
         cancelled: When cancels of jobs were answered.
@@ -56,7 +56,7 @@
         failed_jobs: Judges which jobs are shown as failed.
     """
 
-    broken: list[str] = field(default_factory=list, kw_only=True)
+    violations: list[str] = field(default_factory=list, kw_only=True)
     queue: Queue = field(default=QUEUE, kw_only=True)
     specs: dict[str, JobSpec] = field(default_factory=dict, init=False)
     cancelled: dict[str, float] = field(default_factory=dict, init=False)
@@ -90,29 +90,29 @@
         task = order.task
         now = world_time()
         self.starts[task].append(now)
-        self.broken += [f"{now:.2f} {line}" for line in self.one_hall.on_start(executor, order)]
-        self.broken += [f"{now:.2f} {line}" for line in self.crashing.on_start(task)]
+        self.violations += [f"{now:.2f} {line}" for line in self.one_hall.on_start(executor, order)]
+        self.violations += [f"{now:.2f} {line}" for line in self.crashing.on_start(task)]
         for other in self.executors.values():
             other.advance()
             run = other.running.get(task)
             if other.alive and run:
-                self.broken.append(f"{now:.2f} TWICE {task} runs on {other.record.address} too")
+                self.violations.append(f"{now:.2f} TWICE {task} runs on {other.record.address} too")
         if task in self.done_acknowledged:
-            self.broken.append(f"{now:.2f} TWICE {task} was done and acknowledged")
+            self.violations.append(f"{now:.2f} TWICE {task} was done and acknowledged")
         if task.job_id not in self.specs or order.payload != self.specs[task.job_id].payload:
-            self.broken.append(f"{now:.2f} UNASKED {task}")
+            self.violations.append(f"{now:.2f} UNASKED {task}")
         for earlier in self.step_of(task).depends_on:
             count = self.specs[task.job_id].steps[earlier].count
             names = [TaskName(task.job_id, 0, earlier, i) for i in range(count)]
             if not all(name in self.done for name in names):
-                self.broken.append(f"{now:.2f} ORDER {task}")
-        self.broken += [f"{now:.2f} {line}" for line in self.budget.on_start(task)]
+                self.violations.append(f"{now:.2f} ORDER {task}")
+        self.violations += [f"{now:.2f} {line}" for line in self.budget.on_start(task)]
 
     def judge_start_of_cancelled(self, task: TaskName) -> None:
         """Judge a start that was carried out when it was ordered."""
         now = world_time()
         if now > self._cancel_counts_from(task.job_id) + CANCEL_S:
-            self.broken.append(f"{now:.2f} UNASKED {task} was started after its cancel")
+            self.violations.append(f"{now:.2f} UNASKED {task} was started after its cancel")
 
     async def check_cancelled(self) -> None:
         """Find tasks that run on after their job was cancelled, whoever started them."""
@@ -124,7 +124,7 @@
                 for run in executor.running.values() if executor.alive else ():
                     if now > self._gone_by(run.task, run.began) and run.task not in self._overdue:
                         self._overdue.add(run.task)
-                        self.broken.append(f"{now:.2f} UNASKED {run.task} runs on")
+                        self.violations.append(f"{now:.2f} UNASKED {run.task} runs on")
 
     def _gone_by(self, task: TaskName, began: float) -> float:
         """Return when a task must be gone: its start may have been carried out late."""
@@ -153,7 +153,7 @@
     def judge_failed(self, job_id: str, where: str) -> None:
         """Judge that a job is shown as failed."""
         now = world_time()
-        self.broken += [f"{now:.2f} {li}" for li in self.failed_jobs.on_shown(job_id, where)]
+        self.violations += [f"{now:.2f} {li}" for li in self.failed_jobs.on_shown(job_id, where)]
 
     def look_at_records(self) -> None:
         """Judge what new records tell, where there are any to be seen."""
@@ -163,8 +163,8 @@
             self.done_acknowledged.add(end.task)
             ended = self.done_runs_at[executor.incarnation_name, end.task, end.run]
             if any(start > ended for start in self.starts[end.task]):
-                self.broken.append(f"{ended:.2f} TWICE {end.task} began again after its end")
+                self.violations.append(f"{ended:.2f} TWICE {end.task} began again after its end")
         if end.kind is EndKind.FAILED:
             self.failed[end.task] += 1
             now = world_time()
-            self.broken += [f"{now:.2f} {line}" for line in self.budget.on_noted(executor, end)]
+            self.violations += [f"{now:.2f} {line}" for line in self.budget.on_noted(executor, end)]
--- a/tests/scheduler/test_core.py
+++ b/tests/scheduler/test_core.py
@@ -9,7 +9,7 @@
 from linkspan.placement.placer import PolicyPlacer
 from linkspan.runtime.log_tail import LOG_WAIT_S
 from linkspan.scheduler.core import SchedulerCore
-from linkspan.services.messages import Closed, RunKey, WorkerReport
+from linkspan.services.messages import AttemptKey, ClosedAttempt, WorkerReport
 from tests.builders import LedgerBuilder, job, watcher, worker
 from tests.world import World
 
@@ -58,8 +58,8 @@
     core.watch_workers(["w1"], 0.0)
     end = built.ledger.next_offset
     core.on_records([], 1.0, end=end)
-    run = RunKey("rennes-a/1.0", 1)
-    closed = Closed(run, ended=True, failed=False, started=True, checkpoint="")
+    run = AttemptKey("rennes-a/1.0", 1)
+    closed = ClosedAttempt(run, ended=True, failed=False, started=True, checkpoint="")
     core.on_report(WorkerReport(worker(), 5.0, closed=(closed,)), began=5.0)
     assert core.step(6.0).exchanges["w1"].acknowledged == ()
     core.on_records([], 11.0, end=end, began=10.0)
--- a/tests/scheduler/test_rescue.py
+++ b/tests/scheduler/test_rescue.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from linkspan.ledger.job_entry import JobCounts
-from linkspan.ledger.ledger import Verdict
+from linkspan.ledger.ledger import ApplyResult
 from linkspan.ledger.records import Cancelled, Ended, Evicted, Outcome, Placed, Submitted
 from linkspan.model.job import AttemptId, Priority
 from linkspan.scheduler.rescue import handovers, rescuer, takeovers
@@ -35,7 +35,7 @@
         if entry is None:
             return
         attempt = AttemptId(number, index, entry.attempts[index] + 1)
-        if side.apply(Placed(attempt, 1)) == [Verdict.APPLIED]:
+        if side.apply(Placed(attempt, 1)) == [ApplyResult.APPLIED]:
             attempts.setdefault((entry.spec.job_id, index), []).append(attempt.attempt)
 
     for what, number, index in steps:
@@ -68,15 +68,15 @@
     lost.apply(Placed(AttemptId(1, 0, 1), 1), Placed(AttemptId(1, 1, 1), 1))
     lost.apply(Evicted(AttemptId(1, 0, 1), "half", True))
     (handed,) = handovers(lost.ledger, "own")
-    assert lost.apply(handed, handed) == [Verdict.APPLIED, Verdict.WRONG_STATE]
+    assert lost.apply(handed, handed) == [ApplyResult.APPLIED, ApplyResult.WRONG_STATE]
     assert lost.ledger.jobs[1].counts() == JobCounts(0, 1, 0, 0, 0, 0, 0, moved=2)
     own.apply(*takeovers(lost.ledger, own.ledger))
     assert list(takeovers(lost.ledger, own.ledger)) == []
     entry = own.ledger.jobs[1]
     assert entry.counts() == JobCounts(2, 0, 0, 0, 0, 0, 0, moved=1)
     assert (entry.checkpoints, list(entry.attempts)) == ({0: "half"}, [1, 0, 0])
-    assert own.apply(Placed(AttemptId(1, 0, 1), 1)) == [Verdict.WRONG_STATE]
-    assert own.apply(Placed(AttemptId(1, 0, 2), 1)) == [Verdict.APPLIED]
+    assert own.apply(Placed(AttemptId(1, 0, 1), 1)) == [ApplyResult.WRONG_STATE]
+    assert own.apply(Placed(AttemptId(1, 0, 2), 1)) == [ApplyResult.APPLIED]
 
 
 def test_cancellation_that_came_first_holds_for_what_is_taken_over() -> None:
@@ -85,7 +85,7 @@
     lost.apply(*handovers(lost.ledger, "own"))
     own.apply(Cancelled("a"), *takeovers(lost.ledger, own.ledger))
     assert own.ledger.finished["a"].counts.not_run == 2
-    assert own.apply(Submitted(job("a", count=2))) == [Verdict.CANCELLED]
+    assert own.apply(Submitted(job("a", count=2))) == [ApplyResult.CANCELLED]
 
 
 def test_one_hall_looks_after_a_lost_one() -> None:
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -78,16 +78,16 @@
 async def test_two_runs_of_a_task_at_once_are_noticed() -> None:
     world = await _world()
     _start(world, 0, TASK, 1, "payload")
-    assert not world.broken
+    assert not world.violations
     _start(world, 1, TASK, 2, "payload")
-    assert "TWICE" in world.broken[0]
+    assert "TWICE" in world.violations[0]
 
 
 async def test_another_payload_and_a_step_too_early_are_noticed() -> None:
     world = await _world()
     _start(world, 0, TASK, 1, "another")
     _start(world, 0, TaskName(SPEC.job_id, 0, 1, 0), 1, "payload")
-    assert [line.split()[1] for line in world.broken] == ["UNASKED", "ORDER"]
+    assert [line.split()[1] for line in world.violations] == ["UNASKED", "ORDER"]
 
 
 async def test_a_start_after_a_done_end_is_noticed_once_that_is_acknowledged() -> None:
@@ -96,9 +96,9 @@
     first = world.executors["east-0:1"]
     first._finish(first.running[TASK], EndKind.DONE)
     _start(world, 1, TASK, 2, "payload")
-    assert not world.broken
+    assert not world.violations
     world.judge_acknowledged(first, EndedTask(1, TASK, 1, EndKind.DONE, ""))
-    assert "TWICE" in world.broken[0]
+    assert "TWICE" in world.violations[0]
 
 
 async def test_an_end_that_nobody_acknowledged_is_not_that_of_a_later_run() -> None:
@@ -115,17 +115,17 @@
     _start(world, 1, TASK, 16, "payload")
     second._finish(second.running[TASK], EndKind.DONE)
     second.report(1)
-    assert not world.broken
+    assert not world.violations
     # Had the first one been acknowledged after all, that would be noticed.
     first.report(1)
-    assert "TWICE" in world.broken[0]
+    assert "TWICE" in world.violations[0]
 
 
 async def test_an_executor_that_guards_nothing_tells_when_it_is_overfilled() -> None:
     world = await _world(guards_room=False, milli_cpu=1_500)
     _start(world, 0, TASK, 1, "payload")
     _start(world, 0, TaskName(SPEC.job_id, 0, 0, 1), 1, "payload")
-    assert "LIMIT" in world.broken[0]
+    assert "LIMIT" in world.violations[0]
 
 
 async def test_an_end_that_a_lapsed_lease_hid_may_be_repeated() -> None:
@@ -138,7 +138,7 @@
     _start(world, 1, TASK, 2, "payload")
     first.until = float("inf")
     first.report(1)
-    assert not world.broken
+    assert not world.violations
 
 
 def _seen(**seen: Any) -> Observed:
--- a/tests/soak/test_planned_stop.py
+++ b/tests/soak/test_planned_stop.py
@@ -40,5 +40,5 @@
         for keeper in keepers:
             keeper.cancel()
         await asyncio.gather(*keepers, return_exceptions=True)
-    assert tally.broken + world.broken == []
+    assert tally.broken + world.violations == []
     assert tally.answered > KEEPERS
--- a/tests/soak/test_verdicts.py
+++ b/tests/soak/test_verdicts.py
@@ -13,7 +13,7 @@
     """Guards against a red run of which nobody can tell any more which promise it broke."""
     played, kept = tmp_path / "played", tmp_path / "kept"
     broken = [f"LOST job {number}" for number in range(30)]
-    write_verdict(played / "seed-7", Outcome(Plan.of_seed(7, 20.0), broken=broken))
+    write_verdict(played / "seed-7", Outcome(Plan.of_seed(7, 20.0), violations=broken))
     (played / "seed-7" / FAULTS).write_text("12.50 kill host-1\n")
     (played / "seed-7" / "host-1.log").write_text("{}\n")
     told = keep_broken([7, 9], played, kept)
--- a/tests/standins/executor_http.py
+++ b/tests/standins/executor_http.py
@@ -71,7 +71,7 @@
     async def _run_start(self, link: ExecutorLink, to: _Address, body: _Fields) -> _Answer:
         task = task_from_wire(body["task"])
         if task.job_id not in self._world.specs:
-            self._world.broken.append(f"UNASKED {task}: no client sent it")
+            self._world.violations.append(f"UNASKED {task}: no client sent it")
             return 400, {}
         order = StartOrder(
             to.executor_id, task, body["run"], body["spec"], body.get("checkpoint", "")
--- a/tests/standins/fake_worker.py
+++ b/tests/standins/fake_worker.py
@@ -5,9 +5,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from linkspan.model.resources import NOTHING, Resources
+from linkspan.model.resources import NO_RESOURCES, Resources
 from linkspan.model.worker import WorkerSpec
-from linkspan.services.messages import Closed, Orders, RunKey, Start, Usage, WorkerReport
+from linkspan.services.messages import (
+    AttemptKey,
+    ClosedAttempt,
+    ExchangeRequest,
+    StartCommand,
+    UsageSample,
+    WorkerReport,
+)
 
 
 @dataclass
@@ -21,7 +28,7 @@
     violations: list[str] = field(default_factory=list)
     attempts: set[tuple[str, int]] = field(default_factory=set)
 
-    def begin(self, worker: str, start: Start) -> None:
+    def begin(self, worker: str, start: StartCommand) -> None:
         """Note that an attempt begins on a worker."""
         task = f"{start.job_id}/{start.index}"
         if task in self.running:
@@ -33,7 +40,7 @@
         self.begun[task] = self.begun.get(task, 0) + 1
         self.resumed_from.setdefault(task, []).append(start.checkpoint)
 
-    def end(self, worker: str, start: Start, *, completed: bool) -> None:
+    def end(self, worker: str, start: StartCommand, *, completed: bool) -> None:
         """Note that an attempt does not run any more."""
         task = f"{start.job_id}/{start.index}"
         if self.running.get(task) == (worker, start.run.attempt):
@@ -43,13 +50,13 @@
 
     def room(self, worker: str, used: Resources, size: Resources) -> None:
         """Check that a worker holds no more than it can."""
-        if not used.fits(size):
+        if not used.fits_within(size):
             self.violations.append(f"{worker} holds {used} of {size}")
 
 
 @dataclass
 class _Run:
-    start: Start
+    start: StartCommand
     lease_until: float
     ends_at: float
     speed: float = 1.0
@@ -65,13 +72,13 @@
 
     spec: WorkerSpec
     witness: Witness
-    run_s: Callable[[Start], float]
-    fails: Callable[[Start], bool] = lambda start: False
+    run_s: Callable[[StartCommand], float]
+    fails: Callable[[StartCommand], bool] = lambda start: False
     offset: float = 0.0
     rate: float = 1.0
     leaving: bool = False
-    runs: dict[RunKey, _Run] = field(default_factory=dict)
-    closed: dict[RunKey, Closed] = field(default_factory=dict)
+    runs: dict[AttemptKey, _Run] = field(default_factory=dict)
+    closed: dict[AttemptKey, ClosedAttempt] = field(default_factory=dict)
     highest: dict[str, int] = field(default_factory=dict)
 
     def clock(self, now: float) -> float:
@@ -96,7 +103,7 @@
         self.highest.clear()
         self.spec = replace(self.spec, incarnation=self.spec.incarnation + 1)
 
-    def exchange(self, orders: Orders, now: float) -> WorkerReport:
+    def exchange(self, orders: ExchangeRequest, now: float) -> WorkerReport:
         """Carry out orders meant for this incarnation, and report."""
         self.tick(now)
         if orders.incarnation == self.spec.incarnation:
@@ -108,10 +115,12 @@
             leaving=self.leaving,
             running=tuple(self.runs),
             closed=tuple(self.closed.values()),
-            usage=tuple(Usage(key, clock, run.start.size, 0.0) for key, run in self.runs.items()),
+            usage=tuple(
+                UsageSample(key, clock, run.start.size, 0.0) for key, run in self.runs.items()
+            ),
         )
 
-    def _obey(self, orders: Orders, now: float) -> None:
+    def _obey(self, orders: ExchangeRequest, now: float) -> None:
         clock = self.clock(now)
         for key in orders.acknowledged:
             self.closed.pop(key, None)
@@ -125,26 +134,26 @@
             for start in orders.starts:
                 self._start(start, orders.lease_until, clock)
 
-    def _start(self, start: Start, lease_until: float, clock: float) -> None:
+    def _start(self, start: StartCommand, lease_until: float, clock: float) -> None:
         key = start.run
         if key.attempt <= self.highest.get(key.task, 0):
             return
         self.highest[key.task] = key.attempt
-        used = sum((run.start.size for run in self.runs.values()), NOTHING)
-        if not (used + start.size).fits(self.spec.size):
-            self.closed[key] = Closed(key, False, False, False, "")
+        used = sum((run.start.size for run in self.runs.values()), NO_RESOURCES)
+        if not (used + start.size).fits_within(self.spec.size):
+            self.closed[key] = ClosedAttempt(key, False, False, False, "")
             return
         self.witness.begin(self.spec.name, start)
         self.witness.room(self.spec.name, used + start.size, self.spec.size)
         self.runs[key] = _Run(start, lease_until, clock + self.run_s(start))
 
-    def _stop(self, key: RunKey) -> None:
+    def _stop(self, key: AttemptKey) -> None:
         run = self.runs.get(key)
         if run is not None:
             self._close(run, ended=False, failed=False, checkpoint=self._mark(run))
         elif key not in self.closed:
             self.highest[key.task] = max(self.highest.get(key.task, 0), key.attempt)
-            self.closed[key] = Closed(key, False, False, False, "")
+            self.closed[key] = ClosedAttempt(key, False, False, False, "")
 
     def _mark(self, run: _Run) -> str:
         return f"checkpoint-{run.start.run.attempt}"
@@ -153,4 +162,4 @@
         key = run.start.run
         del self.runs[key]
         self.witness.end(self.spec.name, run.start, completed=ended and not failed)
-        self.closed[key] = Closed(key, ended, failed, True, checkpoint)
+        self.closed[key] = ClosedAttempt(key, ended, failed, True, checkpoint)
--- a/tests/standins/memory_executor.py
+++ b/tests/standins/memory_executor.py
@@ -131,7 +131,7 @@
         if step.demand.milli_cpu > free.milli_cpu or step.demand.memory_mb > free.memory_mb:
             if guarded:
                 return StartOutcome.NO_ROOM
-            self.world.broken.append(f"{self.now:.2f} LIMIT {order.task} overfills")
+            self.world.violations.append(f"{self.now:.2f} LIMIT {order.task} overfills")
         self.world.judge_start(self, order)
         took = self.world.running_time(order.task)
         run = _Run(order.task, order.run, order.payload, self.now, self.now + took, False)
--- a/tests/standins/platform_http.py
+++ b/tests/standins/platform_http.py
@@ -92,7 +92,9 @@
         except ProducerFenced as error:
             return web.json_response({"reason": "fenced", "epoch": error.epoch}, status=409)
         except ProducerGap as error:
-            return web.json_response({"reason": "seq", "callSeq": error.wanted}, status=409)
+            return web.json_response(
+                {"reason": "seq", "callSeq": error.expected_sequence}, status=409
+            )
         if at is not None:
             self.last_conditional = self.hosts.get(local_port(request), "")
         return web.json_response({"offset": done.offset, "end": done.end})
--- a/tests/store/test_listing.py
+++ b/tests/store/test_listing.py
@@ -9,7 +9,7 @@
 
 from linkspan.errors import LogGap, StoreUnanswered
 from linkspan.store.follower import Follower
-from linkspan.store.listing import Listing
+from linkspan.store.keyed_snapshot import KeyedSnapshot
 from linkspan.store.types import Entry, KeyPage, Page, Partition
 from tests.standins.memory_store import LISTED_KEYS, READ_RECORDS, MemoryStore, StoreLink
 from tests.virtual_time import run_virtual
@@ -76,7 +76,7 @@
 async def read_snapshot(link: StoreLink, partition: Partition) -> tuple[tuple[Entry, ...], int]:
     """Return the newest record of each key as a follower would take it."""
     while True:
-        listing = Listing(link, partition)
+        listing = KeyedSnapshot(link, partition)
         try:
             await listing.read()
         except LogGap:
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -69,7 +69,7 @@
 ) -> None:
     """Guards against lines that, cut off, tell who wrote them and not what was decided."""
     log = EventLog("test")
-    log.name(host="edge-1", hall="east", life="a0")
+    log.bind(host="edge-1", hall="east", life="a0")
     log.write(Event.RUN_FAILED, job="00aa", failures=1, most=3, hall="west")
     line = json.loads(capsys.readouterr().err)
     names = list(line)
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -86,16 +86,16 @@
         return super().running_time(task)
 
     def judge_start(self, executor: MemoryExecutor, order: StartOrder) -> None:
-        before = len(self.broken)
+        before = len(self.violations)
         super().judge_start(executor, order)
-        new = self.broken[before:]
+        new = self.violations[before:]
         if self.step_of(order.task).speculative:
             new = [line for line in new if " TWICE " not in line]
         if order.run == 1:
             if self._first_runs_lapsed(executor, order.task.job_id):
                 new = [line for line in new if " ELSEWHERE " not in line]
             self.first_runs[order.task.job_id].append((executor, executor.now))
-        self.broken[before:] = new
+        self.violations[before:] = new
 
     def _first_runs_lapsed(self, executor: MemoryExecutor, job_id: str) -> bool:
         """Whether the leases of a job's first runs in other halls have lapsed since.
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from linkspan.placement.placer import PolicyPlacer
 from linkspan.scheduler.core import SchedulerCore
 from linkspan.scheduler.timing import Timing
-from linkspan.services.messages import Orders, WorkerReport
+from linkspan.services.messages import ExchangeRequest, WorkerReport
 from tests.standins.fake_log import FakeLog
 from tests.standins.fake_worker import FakeWorker, Witness
 
@@ -54,7 +54,7 @@
     due: float
     sender: str
     worker: str
-    orders: Orders
+    orders: ExchangeRequest
     began: float
 
 
