--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -30,7 +30,7 @@
 REGRESSION_S = 20.0
 """Time in which faults begin when the seeds that failed once are played again."""
 
-MOST_LINES = 20
+MAX_LINES = 20
 """Broken promises that are printed of one run."""
 
 
@@ -39,7 +39,7 @@
     outcome = await Run(plan, folder).play()
     print(outcome, flush=True)
     write_verdict(folder, outcome)
-    for line in outcome.violations[:MOST_LINES]:
+    for line in outcome.violations[:MAX_LINES]:
         print(f"  {line}")
     if outcome.violations:
         print(f"  logs: {folder}", flush=True)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -37,7 +37,7 @@
 PAUSE_S = 1.5
 """Longest pause between two faults of a series, in seconds."""
 
-LONGEST_S = 5.0
+MAX_S = 5.0
 """Longest time for which a fault lasts: past the 2 s after which a shard's owner is
 replaced, and near the longest lease."""
 
@@ -87,7 +87,7 @@
 
 
 async def _last(draw: Random, *, least_s: float = 0.5) -> None:
-    await asyncio.sleep(draw.uniform(least_s, LONGEST_S))
+    await asyncio.sleep(draw.uniform(least_s, MAX_S))
 
 
 # Hosts
@@ -163,7 +163,7 @@
 @fault
 async def pause_one(world: World, draw: Random) -> None:
     """Pause a host."""
-    await _host(world, draw).pause(draw.uniform(0.5, LONGEST_S))
+    await _host(world, draw).pause(draw.uniform(0.5, MAX_S))
 
 
 @fault
@@ -171,7 +171,7 @@
     """Pause the host that last claimed a shard, twice with a short life between."""
     host = await _writer(world, draw)
     for _ in range(2):
-        await host.pause(draw.uniform(0.5, LONGEST_S))
+        await host.pause(draw.uniform(0.5, MAX_S))
         await asyncio.sleep(draw.uniform(0.0, 0.5))
 
 
@@ -180,7 +180,7 @@
     """Pause half of the hosts, each for a time of its own."""
     hosts = list(world.hosts.values())
     hosts = draw.sample(hosts, (len(hosts) + 1) // 2)
-    await asyncio.gather(*(host.pause(draw.uniform(0.5, LONGEST_S)) for host in hosts))
+    await asyncio.gather(*(host.pause(draw.uniform(0.5, MAX_S)) for host in hosts))
 
 
 @fault
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -33,7 +33,7 @@
 ASKED_HOSTS = 8
 """Hosts that are asked for each job at the end; every host where there are fewer."""
 
-LEAST_CRASHES = 2
+MIN_CRASHES = 2
 """Executors that must have crashed under a task before its job may be given up."""
 
 FINAL = ("succeeded", "failed", "cancelled")
@@ -125,7 +125,7 @@
 
 def _may_be_given_up(job: Job, observed: Observed) -> bool:
     """Whether as many executors crashed under a task as the users ask for at the least."""
-    return any(observed.crashes.get(task, 0) >= LEAST_CRASHES for task in job.tasks)
+    return any(observed.crashes.get(task, 0) >= MIN_CRASHES for task in job.tasks)
 
 
 def given_up_beside(callers: Callers, observed: Observed) -> int:
--- a/soak/run.py
+++ b/soak/run.py
@@ -19,7 +19,7 @@
 """Longest time until all hosts are ready: 2 s each where the machine is free."""
 
 KEEPERS_PER_HOST = 3
-MOST_KEEPERS = 60
+MAX_KEEPERS = 60
 """Callers that use their connection to its end."""
 
 CALM_JOBS = 8
@@ -106,7 +106,7 @@
         crashing = callers.send_crashing_jobs(Random(f"{self._plan.seed} crashing"))
         others.append(asyncio.create_task(crashing))
         others.append(asyncio.create_task(self._watch(world)))
-        for number in range(min(KEEPERS_PER_HOST * len(hosts), MOST_KEEPERS)):
+        for number in range(min(KEEPERS_PER_HOST * len(hosts), MAX_KEEPERS)):
             host = hosts[number % len(hosts)]
             random = Random(f"{self._plan.seed} keeper {number}")
             keeper = Keeper(random, host, world, callers, self._tally)
--- a/soak/verdicts.py
+++ b/soak/verdicts.py
@@ -15,7 +15,7 @@
 FAULTS = "faults.log"
 """File in a run's folder that says which faults it caused, and when."""
 
-MOST_TOLD = 40
+MAX_TOLD = 40
 """Lines of each file that are told of a run: enough for its verdict and all its faults."""
 
 
@@ -47,4 +47,4 @@
 def _lines(path: Path) -> list[str]:
     if not path.exists():
         return [f"  no {path.name}: the run did not come to its end"]
-    return [f"  {line}" for line in path.read_text(errors="replace").splitlines()[:MOST_TOLD]]
+    return [f"  {line}" for line in path.read_text(errors="replace").splitlines()[:MAX_TOLD]]
--- a/src/linkspan/host/_slowness.py
+++ b/src/linkspan/host/_slowness.py
@@ -7,7 +7,7 @@
 Hosts of two cores load it in some 0.3 s and those of half a core in 0.7 s; apart by 0.2 s, the
 first have claimed before the others look."""
 
-MOST_DELAY_S = 0.3
+MAX_DELAY_S = 0.3
 """Longest delay of a claim: a shard without an owner starts nothing, and a host of the hall is
 to claim a released one before another hall's does, after 0.6 s."""
 
@@ -36,7 +36,7 @@
     @property
     def delay_s(self) -> float:
         """Time for which this host lets others claim a shard first, in seconds."""
-        return min(LOADING_SHARE * self._loaded_s + self._lag_s, MOST_DELAY_S)
+        return min(LOADING_SHARE * self._loaded_s + self._lag_s, MAX_DELAY_S)
 
     def note_lag(self, lag_s: float) -> None:
         """Take in by how much a sleep of the loop was too long, in seconds."""
--- a/src/linkspan/host/caller_waits.py
+++ b/src/linkspan/host/caller_waits.py
@@ -15,7 +15,7 @@
 ANSWER_MARGIN_S = 0.15
 """Time kept for the way back of an answer that is given for want of time."""
 
-LEAST_WAIT_S = 0.05
+MIN_WAIT_S = 0.05
 """Time that a call gets at least, however little its caller grants."""
 
 
@@ -50,7 +50,7 @@
         """Return the steady time by which a caller that grants so long is answered."""
         now = steady()
         wanted = min(now + granted_s - ANSWER_MARGIN_S, self._drained_at)
-        return max(wanted, now + LEAST_WAIT_S)
+        return max(wanted, now + MIN_WAIT_S)
 
     @asynccontextmanager
     async def until(self, deadline: float) -> AsyncIterator[None]:
--- a/src/linkspan/host/front.py
+++ b/src/linkspan/host/front.py
@@ -14,7 +14,7 @@
 from linkspan.errors import InvalidInput, ProducerFenced, StoreRefused
 from linkspan.events import Event
 from linkspan.host._impossible import oversized_step
-from linkspan.host.caller_waits import LEAST_WAIT_S, CallerWaits
+from linkspan.host.caller_waits import MIN_WAIT_S, CallerWaits
 from linkspan.jobs.job_registry import REFRESH_S
 from linkspan.jobs.records import Cancelled, JobState, Submitted
 
@@ -307,7 +307,7 @@
             return _json(200, b"{}")
         write = self._job_registry.write([Cancelled(job_id)])
         try:
-            async with self._waits.until(max(deadline, steady() + LEAST_WAIT_S)):
+            async with self._waits.until(max(deadline, steady() + MIN_WAIT_S)):
                 await asyncio.shield(write)
         except TimeoutError:
             self._log.write(Event.JOB_IN_DOUBT, job=job_id, call="cancel")
@@ -333,7 +333,7 @@
 def _wait_until(deadline: float) -> float:
     """Return how long an answer may wait for the job records, in seconds."""
     left = ASK_SHARE * (deadline - steady())
-    return max(min(left, ASK_LIMIT_S), LEAST_WAIT_S)
+    return max(min(left, ASK_LIMIT_S), MIN_WAIT_S)
 
 
 def _host_name(request: web.BaseRequest) -> str:
--- a/src/linkspan/host/sizes.py
+++ b/src/linkspan/host/sizes.py
@@ -9,7 +9,7 @@
     from linkspan.shard.handover.summary import HallSummary
 
 
-MOST_SIZES = 64
+MAX_SIZES = 64
 """Sizes of a service's executors from which on one that a larger one holds is not kept: rooms
 that shrink and grow bring ever new ones, and each job is compared with all."""
 
@@ -40,7 +40,7 @@
 
     def _note(self, service: str, size: Demand) -> None:
         seen = self._seen.setdefault(service, set())
-        if len(seen) >= MOST_SIZES and any(known.union(size) == known for known in seen):
+        if len(seen) >= MAX_SIZES and any(known.union(size) == known for known in seen):
             return
         seen.add(size)
 
--- a/src/linkspan/placement/colocation.py
+++ b/src/linkspan/placement/colocation.py
@@ -35,7 +35,7 @@
 LOAD_WINDOW_S = 3.0
 """Measurements this far apart count as of one moment."""
 
-MOST_BIAS = 0.1
+MAX_BIAS = 0.1
 """Most that a worker's bias adds to a prediction."""
 
 TRIALS = 3
@@ -140,7 +140,7 @@
         if kinds is not None:
             self.model.learn(known.kind, load, kinds, latency)
             error = latency - self.model.predict(known.kind, load, kinds)
-            bias = min(MOST_BIAS, max(0.0, bias + BIAS_RATE * (error - bias)))
+            bias = min(MAX_BIAS, max(0.0, bias + BIAS_RATE * (error - bias)))
         site.services[key] = ServiceState(known.kind, load, latency, when, bias)
         self._loads.setdefault(known.kind, ServiceLoad()).note(load, when)
 
--- a/src/linkspan/placement/interference.py
+++ b/src/linkspan/placement/interference.py
@@ -18,13 +18,13 @@
 PRIOR_BASE = 0.5
 """What an unknown service's latency over target is taken to be when alone."""
 
-LEAST_RATE = 0.05
+MIN_RATE = 0.05
 """Weight that a new measurement keeps for ever, so that drift is followed."""
 
 SURGE_RATE = 0.04
 """Weight of a new measurement in a service's surge."""
 
-LARGEST_SURGE = 2.0
+MAX_SURGE = 2.0
 """Most that a surge is taken to multiply effects by; the least is its inverse."""
 
 MAX_KINDS = 256
@@ -64,7 +64,7 @@
 
     def move(self, change: float, weight: float) -> None:
         """Move towards a measurement that was off by ``change``."""
-        rate = max(LEAST_RATE, 1.0 / (1.0 + self.seen))
+        rate = max(MIN_RATE, 1.0 / (1.0 + self.seen))
         self.mean = max(0.0, self.mean + rate * change)
         self.seen += weight
 
@@ -90,7 +90,7 @@
 
     Base and parts are learnt for each service at a few loads, with straight
     lines between, by normalised least mean squares (Widrow and Hoff, 1960).
-    The step shrinks as a figure is seen more but never below ``LEAST_RATE``. A
+    The step shrinks as a figure is seen more but never below ``MIN_RATE``. A
     pair not seen near a load takes the nearest load's figure, and one never
     seen at all a small prior, so that unknown pairs are tried where there is
     room. What moves all workers of a service at once, such as a noisy spell,
@@ -210,5 +210,5 @@
             return
         known = self._services[service]
         seen = (latency - self.base(service, load)) / added
-        seen = min(LARGEST_SURGE, max(1.0 / LARGEST_SURGE, seen))
+        seen = min(MAX_SURGE, max(1.0 / MAX_SURGE, seen))
         known.surge += SURGE_RATE * (seen - known.surge)
--- a/src/linkspan/placement/learned.py
+++ b/src/linkspan/placement/learned.py
@@ -33,7 +33,7 @@
     from linkspan.placement.guard import Action
     from linkspan.services.messages import AttemptKey, UsageSample, WorkerReport
 
-MOST_PREEMPTIONS = 4
+MAX_PREEMPTIONS = 4
 """Urgent tasks for which room is made in one pass."""
 
 PREEMPTION_PAUSE_S = 5.0
@@ -182,7 +182,7 @@
             and ledger.jobs[number].spec.priority is Priority.URGENT
             and now - self._preempted.get(number, float("-inf")) >= PREEMPTION_PAUSE_S
         ]
-        for entry in waiting[:MOST_PREEMPTIONS]:
+        for entry in waiting[:MAX_PREEMPTIONS]:
             chosen = self._cheapest(entry, ledger, allowed)
             if chosen is None:
                 continue
--- a/src/linkspan/placement/quarantine.py
+++ b/src/linkspan/placement/quarantine.py
@@ -12,16 +12,16 @@
 WINDOW = 32
 """Ends remembered of each worker and each kind of work."""
 
-LARGEST_SHARE = 0.25
+MAX_SHARE = 0.25
 """Part of the workers that may be in quarantine at once."""
 
-FEWEST_ENDS = 6
+MIN_ENDS = 6
 """Ends of at least two kinds that a worker is judged by."""
 
 FIRST_PAUSE_S = 60.0
 """First time in quarantine; it doubles with each relapse."""
 
-LONGEST_PAUSE_S = 3_600.0
+MAX_PAUSE_S = 3_600.0
 """Longest time in quarantine."""
 
 
@@ -78,9 +78,9 @@
         self._kinds[end.kind].append(end)
         if not end.failed or record.until > now or not self._is_bad(end.worker):
             return False
-        if len(self.held(now)) + 1 > max(1, int(LARGEST_SHARE * workers)):
+        if len(self.held(now)) + 1 > max(1, int(MAX_SHARE * workers)):
             return False
-        pause = min(FIRST_PAUSE_S * 2**record.pauses, LONGEST_PAUSE_S)
+        pause = min(FIRST_PAUSE_S * 2**record.pauses, MAX_PAUSE_S)
         record.until = now + pause
         record.pauses += 1
         record.ends.clear()
@@ -98,7 +98,7 @@
 
     def _is_bad(self, worker: str) -> bool:
         ends = self._workers[worker].ends
-        if len(ends) < FEWEST_ENDS:
+        if len(ends) < MIN_ENDS:
             return False
         expected = sum(self._failure_share(end.kind, worker) for end in ends)
         failed = sum(end.failed for end in ends)
--- a/src/linkspan/platform/store.py
+++ b/src/linkspan/platform/store.py
@@ -41,7 +41,7 @@
 _LENGTH = Struct(">I")
 _READ_HEAD = Struct(">QQ")
 
-_LEAST_KB = 1
+_MIN_KB = 1
 """Smallest size of an answer to a read that can be asked for, in kilobytes."""
 
 _NOTHING_DONE = frozenset((429, 503, 507))
@@ -106,7 +106,7 @@
     async def end(self, partition: Partition, start: int) -> int:
         """Find the end; see :meth:`linkspan.store.types.Store.end`."""
         # The answer's head tells the end, however little of the records is asked for.
-        path = f"log-read?{_place(partition)}&from={start}&max_kb={_LEAST_KB}"
+        path = f"log-read?{_place(partition)}&from={start}&max_kb={_MIN_KB}"
         return _end(await self._records(path))
 
     async def newest(self, partition: Partition) -> Page:
--- a/src/linkspan/report/reader.py
+++ b/src/linkspan/report/reader.py
@@ -18,7 +18,7 @@
 SPAN_S = 5.0
 """Length of the spans of time by which jobs are added up, in seconds."""
 
-MOST_OPEN_JOBS = 50_000
+MAX_OPEN_JOBS = 50_000
 """Jobs that are kept in memory until their end is read; the oldest beyond that are
 counted as open. A kilobyte each, so 50 MB."""
 
@@ -103,7 +103,7 @@
         job = self._jobs.get(entry["job"])
         if job is None:
             job = self._jobs[entry["job"]] = _OpenJob(at)
-            if len(self._jobs) > MOST_OPEN_JOBS:
+            if len(self._jobs) > MAX_OPEN_JOBS:
                 self._jobs.pop(next(iter(self._jobs)))
                 self._dropped += 1
         return job
--- a/src/linkspan/routing/pool.py
+++ b/src/linkspan/routing/pool.py
@@ -22,10 +22,10 @@
 SMOOTHING = 0.1
 """Weight of the latest latency in an executor's learnt one."""
 
-LARGEST_EJECTED = 0.5
+MAX_EJECTED = 0.5
 """Part of the executors that may be set aside at once."""
 
-LEAST_ANSWERS = 4
+MIN_ANSWERS = 4
 """Answers before the learnt latency may refuse a request. The first answer of a fresh
 connection took up to three times as long as the next ones (326 and 108 ms, measured beside
 busy processes); in a mean of four that leaves half too much, which the margins bear."""
@@ -36,7 +36,7 @@
 WAIT_MARGIN = 1.25
 """What the reckoned wait for a slot is multiplied by."""
 
-LONGEST_RETRY_AFTER_S = 30
+MAX_RETRY_AFTER_S = 30
 """Longest time that a refused caller is told to wait."""
 
 
@@ -218,7 +218,7 @@
 
         0 while too little is known to refuse anybody.
         """
-        if 0 < sum(e.answers for e in self.executors.values()) < LEAST_ANSWERS:
+        if 0 < sum(e.answers for e in self.executors.values()) < MIN_ANSWERS:
             return 0.0
         latencies = [e.latency_s for e in self.executors.values() if e.latency_s]
         service_s = SERVICE_MARGIN * sum(latencies) / len(latencies) if latencies else 0.0
@@ -283,7 +283,7 @@
         latencies = [e.latency_s for e in self.executors.values() if e.latency_s]
         rate = self._drain_rate(now, latencies)
         wait = (len(self._queue) + 1) / rate if rate else 0.0
-        return min(max(1, math.ceil(wait + min(latencies, default=0.0))), LONGEST_RETRY_AFTER_S)
+        return min(max(1, math.ceil(wait + min(latencies, default=0.0))), MAX_RETRY_AFTER_S)
 
     def _refuse(self, ticket: int, why: Refusal, now: float) -> Refused:
         return Refused(ticket, why, self.retry_after(now))
@@ -320,6 +320,6 @@
         """Return executors not set aside; too many set aside means a bad signal."""
         staying = [e for e in self.executors.values() if not e.leaving]
         allowed = [e for e in staying if e.breaker.allows(now)]
-        if len(staying) - len(allowed) > LARGEST_EJECTED * len(staying):
+        if len(staying) - len(allowed) > MAX_EJECTED * len(staying):
             return staying
         return allowed
--- a/src/linkspan/scheduler/append_budget.py
+++ b/src/linkspan/scheduler/append_budget.py
@@ -13,7 +13,7 @@
         rng: Source of the backoff's jitter.
     """
 
-    LONGEST_BACKOFF_S = 5.0
+    MAX_BACKOFF_S = 5.0
 
     def __init__(self, per_s: float, *, rng: random.Random | None = None) -> None:
         self._per_s = per_s
@@ -48,5 +48,5 @@
             self._failures = 0
             return
         self._failures += 1
-        backoff = min(0.2 * 2**self._failures, self.LONGEST_BACKOFF_S)
+        backoff = min(0.2 * 2**self._failures, self.MAX_BACKOFF_S)
         self._blocked_until = now + backoff * self._random.uniform(0.5, 1.0)
--- a/src/linkspan/scheduler/rescue.py
+++ b/src/linkspan/scheduler/rescue.py
@@ -13,7 +13,7 @@
 
     from linkspan.ledger.ledger import Ledger
 
-MOST_AT_ONCE = 50
+MAX_AT_ONCE = 50
 """Jobs that one look hands over, so that a hall is not flooded."""
 
 
@@ -47,7 +47,7 @@
         and f"{lost.hall}/{entry.number}" not in lost.handed
     ]
     waiting.sort(key=lambda entry: (entry.spec.priority, entry.number))
-    for entry in waiting[:MOST_AT_ONCE]:
+    for entry in waiting[:MAX_AT_ONCE]:
         yield HandedOver(entry.number, hall)
 
 
--- a/src/linkspan/shard/_shard_state.py
+++ b/src/linkspan/shard/_shard_state.py
@@ -35,7 +35,7 @@
 
 Order = StartOrder | StopOrder | PaceOrder
 
-MOST_STARTS = 4
+MAX_UNANSWERED_STARTS = 4
 """Starts of one run that get no answer before its task goes elsewhere: an executor that answers
 looks and no orders is of no use to it."""
 
@@ -374,7 +374,7 @@
             # On record, neither a copy is told from what it runs beside, nor a ticket.
             return False
         suits = executor.record.takes_new_work and executor.record.service == job.service
-        return suits and attempt.starts < MOST_STARTS
+        return suits and attempt.starts < MAX_UNANSWERED_STARTS
 
     def order_stop(self, attempt: Attempt, now: float) -> None:
         """Order a stop of an attempt, unless one is out or the executor must answer first."""
--- a/src/linkspan/shard/colocation/_trend.py
+++ b/src/linkspan/shard/colocation/_trend.py
@@ -10,7 +10,7 @@
 """Growth of the slope's variance in a second: loads were seen to swing by half within
 five seconds and back, which bends by 0.07 in a second squared."""
 
-LONGEST_STEP_S = 2.0
+MAX_STEP_S = 2.0
 """Longest time over which a slope is carried on; past that only the doubt grows."""
 
 FIRST_SLOPE_VARIANCE = 0.1**2
@@ -55,7 +55,7 @@
             >>> round(trend.at(10.0), 2)
             0.6
         """
-        ahead = min(max(time_s - self._at, 0.0), LONGEST_STEP_S)
+        ahead = min(max(time_s - self._at, 0.0), MAX_STEP_S)
         return max(self._level + self._slope * ahead, 0.0)
 
     def advance(self, time_s: float) -> None:
@@ -63,7 +63,7 @@
         step = time_s - self._at
         if step <= 0.0:
             return
-        ahead = min(step, LONGEST_STEP_S)
+        ahead = min(step, MAX_STEP_S)
         self._level = max(self._level + self._slope * ahead, 0.0)
         self._variance += 2 * ahead * self._cross + ahead * ahead * self._slope_variance
         self._variance += LEVEL_DRIFT_PER_S * step
--- a/src/linkspan/shard/colocation/interference.py
+++ b/src/linkspan/shard/colocation/interference.py
@@ -36,7 +36,7 @@
 """Latency over target of a standing task with nothing to do. The least figures seen
 on calm days were 0.2, at a quarter of the load."""
 
-MOST_PRESSURE = 0.97
+MAX_PRESSURE = 0.97
 """Pressure from which figures no longer tell how far over it is."""
 
 PRIOR_EFFECT = 0.015
@@ -77,7 +77,7 @@
         >>> [round(pressure_of(r), 2) for r in (0.17, 0.34, 1.0, 17.0)]
         [0.0, 0.5, 0.83, 0.97]
     """
-    return min(max(1.0 - UNLOADED / max(ratio, UNLOADED), 0.0), MOST_PRESSURE)
+    return min(max(1.0 - UNLOADED / max(ratio, UNLOADED), 0.0), MAX_PRESSURE)
 
 
 @dataclass(slots=True)
@@ -123,7 +123,7 @@
         load = self._load(attempt, now)
         effects = [(self._effect(image, other, now), n) for other, n in cores.items() if n]
         expected = load.at(now) + sum(effect.mean * n for effect, n in effects)
-        if pressure >= MOST_PRESSURE and expected >= pressure:
+        if pressure >= MAX_PRESSURE and expected >= pressure:
             return
         error = pressure - expected
         total = load.variance + FIGURE_VARIANCE
--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -30,7 +30,7 @@
 STOP_BELOW = 10
 """Pace in percent under which a neighbour stands still instead."""
 
-LEAST_STEP = 10
+MIN_STEP = 10
 """Change of pace in percent that is worth an order."""
 
 FIGURE_S = 0.5
@@ -137,7 +137,7 @@
     ) -> None:
         """Order a pace if the change is worth it, or the one in force is not known."""
         pace = _rounded(pace, attempt.pace)
-        if abs(pace - attempt.pace) < LEAST_STEP and attempt.pace_confirmed:
+        if abs(pace - attempt.pace) < MIN_STEP and attempt.pace_confirmed:
             return
         self._changed_at[executor.executor_id] = now
         self._core.log(
@@ -157,7 +157,7 @@
     """Return the pace to order: none for very little, full speed if little short of it."""
     if pace < STOP_BELOW:
         return 0
-    return pace if pace <= FULL_PACE - LEAST_STEP or pace < present else FULL_PACE
+    return pace if pace <= FULL_PACE - MIN_STEP or pace < present else FULL_PACE
 
 
 def _over_factor(standing: list[Attempt], now: float) -> float:
--- a/src/linkspan/shard/orders/_dispatch.py
+++ b/src/linkspan/shard/orders/_dispatch.py
@@ -23,7 +23,7 @@
 PLAN_DELAY_S = 0.004
 """Least time for which news is gathered before a plan is made."""
 
-MOST_PLAN_DELAY_S = 0.03
+MAX_PLAN_DELAY_S = 0.03
 """Longest time of the same: short tasks are to start within tens of milliseconds."""
 
 PLAN_DELAY_FACTOR = 10.0
@@ -31,11 +31,11 @@
 executors takes milliseconds and each answer to its orders brings news, 70 plans a second were
 seen: so planning takes at most an eleventh of an owner's time, until the longest delay binds."""
 
-MOST_RECORD_WAIT_S = 1.0
+MAX_RECORD_WAIT_S = 1.0
 """Longest time for which a start waits for its record: a slow store answers in 0.4 s, and an append
 may be under way. A start of a suspect waits for as long as it takes."""
 
-MOST_AWAY_WAIT_S = 0.3
+MAX_AWAY_WAIT_S = 0.3
 """The same while the store refuses or does not answer: work goes on while it is away."""
 
 
@@ -46,7 +46,7 @@
         >>> [gathering_s(took) for took in (0.0001, 0.001, 0.1)]
         [0.004, 0.01, 0.03]
     """
-    return min(max(PLAN_DELAY_FACTOR * took_s, PLAN_DELAY_S), MOST_PLAN_DELAY_S)
+    return min(max(PLAN_DELAY_FACTOR * took_s, PLAN_DELAY_S), MAX_PLAN_DELAY_S)
 
 
 class Dispatcher:
@@ -175,7 +175,7 @@
                     await self._changes.next_stored()
 
     def _record_wait_s(self) -> float:
-        return MOST_RECORD_WAIT_S if self._writer.healthy else MOST_AWAY_WAIT_S
+        return MAX_RECORD_WAIT_S if self._writer.healthy else MAX_AWAY_WAIT_S
 
     def _waits(self, run: JobRun) -> bool:
         """Whether a start of a repetition may still go out, and its record be written."""
--- a/src/linkspan/shard/orders/_orders.py
+++ b/src/linkspan/shard/orders/_orders.py
@@ -25,7 +25,7 @@
 MAX_START_DELAY_S = 12.0
 """Time after a start without an answer by which it was carried out, or never is."""
 
-MOST_RETRY_REFUSED_S = 0.4
+MAX_REFUSED_RETRY_S = 0.4
 """Longest pause, to which it doubles with each refusal in a row: a heartbeat, after which an
 executor's entry tells of less room, is not much longer, and short tasks are not to wait more."""
 
@@ -216,4 +216,4 @@
         [0.05, 0.1, 0.2, 0.4, 0.4]
     """
     doubled = RETRY_REFUSED_S * (1 << min(refusals, 8))
-    return min(doubled, MOST_RETRY_REFUSED_S)
+    return min(doubled, MAX_REFUSED_RETRY_S)
--- a/src/linkspan/shard/ownership/ownership.py
+++ b/src/linkspan/shard/ownership/ownership.py
@@ -41,7 +41,7 @@
 the store last up to 9 s."""
 
 
-MOST_EFFECTS = 2_000
+MAX_EFFECTS = 2_000
 """Effects kept of a hall, the newest: images come and go with what runs, and a host that
 does not own the hall is not to keep those of weeks. Some 300 are known at once."""
 
@@ -250,7 +250,7 @@
             pair = effect.standing, effect.image
             self._effects.pop(pair, None)
             self._effects[pair] = effect
-        while len(self._effects) > MOST_EFFECTS:
+        while len(self._effects) > MAX_EFFECTS:
             del self._effects[next(iter(self._effects))]
 
     def give_up(self) -> None:
--- a/src/linkspan/shard/planning/_step_scores.py
+++ b/src/linkspan/shard/planning/_step_scores.py
@@ -35,7 +35,7 @@
 """Added to an executor with no standing task of the image: a new image takes the
 emptiest one, and a known one fills those that it has."""
 
-MOST_OF_STEP = 0.5
+MAX_OF_STEP = 0.5
 """Part of a standing step that one executor takes while others have room: a crash is to
 leave the service the other half."""
 
@@ -84,7 +84,7 @@
             score += SLOW_PENALTY
         if spec.standing:
             score += self._neighbour_score(executor, capacity)
-            if placed + 1 > max(spec.count * MOST_OF_STEP, 1):
+            if placed + 1 > max(spec.count * MAX_OF_STEP, 1):
                 score += CROWDED_PENALTY
         if spec.best_effort:
             added = self.colocation.worst_added(executor, spec.image, spec.demand.milli_cpu)
--- a/src/linkspan/shard/planning/_trials.py
+++ b/src/linkspan/shard/planning/_trials.py
@@ -13,7 +13,7 @@
     from linkspan.shard.planning.placement import StepPlacement
     from linkspan.shard.task import Task
 
-MOST_SHARE = 0.25
+MAX_SHARE = 0.25
 """Part of a hall's executors on which suspects are tried at a time. What they crash leaves
 three quarters of the hall to others; and where more fall at once, it was not they."""
 
@@ -39,7 +39,7 @@
 
     def __init__(self, core: ShardCore, usable: int, now: float) -> None:
         self._core = core
-        self._most = max(int(MOST_SHARE * usable), 1)
+        self._most = max(int(MAX_SHARE * usable), 1)
         self._now = now
 
     def __repr__(self) -> str:
--- a/src/linkspan/shard/planning/advice.py
+++ b/src/linkspan/shard/planning/advice.py
@@ -15,7 +15,7 @@
 
     from linkspan.shard.step_run import StepRun
 
-MOST_ASKED = 30
+MAX_ASKED = 30
 """Executors named in one call. Each costs the service time, and objectives allow for one
 call with as many a step."""
 
@@ -115,7 +115,7 @@
             if step.run.job.closing or step.remaining_tasks == 0:
                 del self._steps[step]
             elif known.wanted:
-                return AdviceCall(step, tuple(known.wanted)[:MOST_ASKED])
+                return AdviceCall(step, tuple(known.wanted)[:MAX_ASKED])
         return None
 
     def on_advice(self, call: AdviceCall, advice: Advice, *, asked: float, valid_s: float) -> None:
--- a/src/linkspan/shard/planning/durations.py
+++ b/src/linkspan/shard/planning/durations.py
@@ -16,13 +16,13 @@
 MEMORY = 300.0
 """Steps over which older ones fade: a hall ends some three a second."""
 
-LEAST_S = 0.01
+MIN_S = 0.01
 """Least length that is told apart, in seconds."""
 
-MOST_S = 1e6
+MAX_S = 1e6
 """Longest, about twelve days: callers may write any number."""
 
-MOST_RATIO = log(100.0)
+MAX_RATIO = log(100.0)
 """Most that an expected length may differ from its guess, as a logarithm: a guess off by more
 is an error of the caller that no other guess of the queue tells of."""
 
@@ -52,7 +52,7 @@
         together = self.product - self.ratio * mean_guess
         slope = together / (spread + TRUST_IN_SLOPE)
         ratio = self.ratio / (self.count + TRUST_IN_GUESSES) + slope * (guess - mean_guess)
-        return min(max(ratio, -MOST_RATIO), MOST_RATIO)
+        return min(max(ratio, -MAX_RATIO), MAX_RATIO)
 
 
 class DurationEstimator:
@@ -109,4 +109,4 @@
 
 
 def _log(seconds: float) -> float:
-    return log(min(max(seconds, LEAST_S), MOST_S))
+    return log(min(max(seconds, MIN_S), MAX_S))
--- a/src/linkspan/shard/planning/placement.py
+++ b/src/linkspan/shard/planning/placement.py
@@ -33,7 +33,7 @@
 """Time after which a standing task may use that room, too: it is then worth more at work
 than the room is to short tasks."""
 
-LEAST_START_SHARE = 1.0
+MIN_START_SHARE = 1.0
 """Least share of full speed at which a best-effort task is started: fewer tasks at full
 speed end in time more often than more at a part of it (trials: batch jobs of a calm day
 earned 0.35 with a third of full speed and 0.37 with all of it)."""
@@ -253,4 +253,4 @@
         spec = self.step.spec
         if unused < spec.demand.milli_cpu * BEST_EFFORT_LEAST_SHARE:
             return "unused cores"
-        return None if self.rooms.share(executor, self.step) >= LEAST_START_SHARE else "pressure"
+        return None if self.rooms.share(executor, self.step) >= MIN_START_SHARE else "pressure"
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -26,7 +26,7 @@
 START_FLUSH_S = 0.015
 """Least time between two appends where starts wait: an append takes some 5 ms."""
 
-MOST_QUICK_FLUSHES = 10
+MAX_QUICK_FLUSHES = 10
 """Appends within a second up to which they may follow each other that soon. The store takes some
 hundreds a second of all halls: busy ones gather starts for as long as other changes."""
 
@@ -82,7 +82,7 @@
     async def flush_loop(self) -> None:
         """Write changes of progress for as long as the tenure lasts."""
         changes = self._changes
-        flushes: deque[float] = deque([NEVER], maxlen=MOST_QUICK_FLUSHES)
+        flushes: deque[float] = deque([NEVER], maxlen=MAX_QUICK_FLUSHES)
         while True:
             await changes.dirty.wait()
             await self._gather()
--- a/src/linkspan/shard/reports/_crash_weights.py
+++ b/src/linkspan/shard/reports/_crash_weights.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from linkspan.shard.attempt import Attempt
 
-LEAST_SHARE = 0.5
+MIN_SHARE = 0.5
 """Share of its expected length that a run takes at the least: a caller's guess is rough."""
 
 
@@ -50,10 +50,10 @@
     length_s = _length_s(attempt)
     if length_s == float("inf"):
         return True
-    if not attempt.recovered and crashed_at - attempt.placed_at < LEAST_SHARE * length_s:
+    if not attempt.recovered and crashed_at - attempt.placed_at < MIN_SHARE * length_s:
         return True
     left_s = length_s * (1.0 - attempt.progress / FULL_PROGRESS) if attempt.progress else length_s
-    return crashed_at - attempt.progress_at < LEAST_SHARE * left_s
+    return crashed_at - attempt.progress_at < MIN_SHARE * left_s
 
 
 def counts_unheard(attempt: Attempt) -> bool:
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -62,7 +62,7 @@
 """Time after a crash after which it convicts: of executors that fall at once the first is found
 some hundred milliseconds before the others."""
 
-MOST_TOLD = 20
+MAX_LOGGED_TASKS = 20
 """Tasks that a line on a crash names, those that began last first: what crashes an executor
 does so soon, and an executor of a wide step holds more than a line can."""
 
@@ -118,7 +118,7 @@
             self._retract(task, incarnation)
         if tasks:
             self._state.count("crashes_taken_back")
-            names = [short_name(task.name) for task in tasks[:MOST_TOLD]]
+            names = [short_name(task.name) for task in tasks[:MAX_LOGGED_TASKS]]
             self._state.log(
                 Event.CRASH_TAKEN_BACK,
                 executor=incarnation,
@@ -306,7 +306,7 @@
             fell_s=round(now - crashed_at, 3),
             fell_beside=beside,
             runs=len(tasks),
-            tasks=dict(list(tasks.items())[:MOST_TOLD]),
+            tasks=dict(list(tasks.items())[:MAX_LOGGED_TASKS]),
         )
 
 
--- a/src/linkspan/shard/reports/_ends.py
+++ b/src/linkspan/shard/reports/_ends.py
@@ -28,7 +28,7 @@
     from linkspan.shard.step_run import StepRun
     from linkspan.shard.task import Task
 
-MOST_UNKNOWN_PER_S = 20
+MAX_UNKNOWN_LINES_PER_S = 20
 """Lines a second on ends of jobs that are not in the books: a first report after a takeover
 may list hundreds of jobs that have ended, and who looks for one run reads all hosts' logs."""
 
@@ -42,7 +42,7 @@
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
-        self._unknown = LogRateLimiter(MOST_UNKNOWN_PER_S)
+        self._unknown = LogRateLimiter(MAX_UNKNOWN_LINES_PER_S)
 
     def __repr__(self) -> str:
         return f"Ends({self._state!r})"
--- a/src/linkspan/shard/reports/_restarts.py
+++ b/src/linkspan/shard/reports/_restarts.py
@@ -20,7 +20,7 @@
 ANSWERED_PROOF = "its next life answers"
 """What proves a life over whose id another one answers under."""
 
-MOST_PASSED_OVER_PER_S = 5
+MAX_PASSED_OVER_LINES_PER_S = 5
 """Lines a second on reports that are passed over; an executor is asked some ten times a second."""
 
 
@@ -39,7 +39,7 @@
         self._state = state
         self._crashes = crashes
         self._over: dict[str, float] = {}
-        self._passed_over = LogRateLimiter(MOST_PASSED_OVER_PER_S)
+        self._passed_over = LogRateLimiter(MAX_PASSED_OVER_LINES_PER_S)
 
     def __repr__(self) -> str:
         return f"RestartTracker({len(self._over)} lives over)"
--- a/tests/placement/test_learning.py
+++ b/tests/placement/test_learning.py
@@ -14,7 +14,7 @@
 from linkspan.placement.guard import BatchState, Guard, GuardWeights, Measure, ServiceState
 from linkspan.placement.interference import PRIOR_EFFECT, InterferenceModel
 from linkspan.placement.preemption import Site, Victim, cheapest_preemption
-from linkspan.placement.quarantine import LARGEST_SHARE, End, Quarantine
+from linkspan.placement.quarantine import MAX_SHARE, End, Quarantine
 from linkspan.placement.sizes import SizeModel
 
 EFFECTS = {"merge": 0.2, "plan": 0.01, "index": 0.06}
@@ -140,7 +140,7 @@
     for n in range(400):
         now += 0.5
         quarantine.note(End(f"k{n % 5}", f"w{n % 8}", n % 8 < 6), now, 8)
-        assert len(quarantine.held(now)) <= LARGEST_SHARE * 8
+        assert len(quarantine.held(now)) <= MAX_SHARE * 8
     assert quarantine.held(now + 10_000.0) == set()
 
 
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -8,7 +8,7 @@
 from linkspan.jobs.spec import Demand, JobSpec, StepSpec
 from linkspan.model.configuration import Configuration, Queue, Service
 from linkspan.model.settings import Bounds
-from linkspan.shard._shard_state import MOST_STARTS
+from linkspan.shard._shard_state import MAX_UNANSWERED_STARTS
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.core import ShardCore
 from linkspan.shard.executor import MAX_ENDS_BEHIND_WITHHELD, UnackedEnd
@@ -84,7 +84,7 @@
 def test_a_start_in_doubt_is_stopped_before_it_is_tried_elsewhere() -> None:
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    for sent in range(1, MOST_STARTS):
+    for sent in range(1, MAX_UNANSWERED_STARTS):
         _in_doubt(core, order, float(sent))
         assert core.orders == [order]
         core.orders.clear()
--- a/tests/shard/test_gathering.py
+++ b/tests/shard/test_gathering.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from linkspan.shard.orders._dispatch import (
-    MOST_PLAN_DELAY_S,
+    MAX_PLAN_DELAY_S,
     PLAN_DELAY_FACTOR,
     PLAN_DELAY_S,
     gathering_s,
@@ -19,14 +19,14 @@
 SHORT_TASK_S = 0.25
 """Time that the shortest callers' work is given beside its own length."""
 
-BINDING_S = MOST_PLAN_DELAY_S / PLAN_DELAY_FACTOR
+BINDING_S = MAX_PLAN_DELAY_S / PLAN_DELAY_FACTOR
 """Length of a plan from which the longest delay binds."""
 
 
 @given(st.floats(0.0, 10.0))
 def test_news_waits_no_longer_than_a_start_may(took_s: float) -> None:
-    assert PLAN_DELAY_S <= gathering_s(took_s) <= MOST_PLAN_DELAY_S
-    assert MOST_PLAN_DELAY_S <= SHORT_TASK_S / 8
+    assert PLAN_DELAY_S <= gathering_s(took_s) <= MAX_PLAN_DELAY_S
+    assert MAX_PLAN_DELAY_S <= SHORT_TASK_S / 8
 
 
 @given(st.floats(0.0, BINDING_S))
--- a/tests/shard/test_unknown_ends.py
+++ b/tests/shard/test_unknown_ends.py
@@ -6,7 +6,7 @@
 
 from linkspan.events import Event
 from linkspan.shard.messages import EndedTask, EndKind, TaskName
-from linkspan.shard.reports._ends import MOST_UNKNOWN_PER_S
+from linkspan.shard.reports._ends import MAX_UNKNOWN_LINES_PER_S
 from tests.job_builders import step
 from tests.shard.builders import core_with, report
 
@@ -24,10 +24,10 @@
         core.departed_jobs.add("bb")
     ends = [
         EndedTask(n + 1, TaskName("bb", 0, 0, n), 1, EndKind.DONE, "")
-        for n in range(MOST_UNKNOWN_PER_S + 5)
+        for n in range(MAX_UNKNOWN_LINES_PER_S + 5)
     ]
     report(core, "e0", *ends, asked=5.0, now=5.1)
-    assert len(rows) == MOST_UNKNOWN_PER_S
+    assert len(rows) == MAX_UNKNOWN_LINES_PER_S
     assert (rows[0]["executor"], rows[0]["job"], rows[0]["task"]) == ("e0", "bb", "0.0.0")
     assert (rows[0]["run"], rows[0]["how"], rows[0]["left"]) == (1, "done", left)
     late = EndedTask(99, TaskName("bb", 0, 0, 99), 1, EndKind.DONE, "")
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -66,7 +66,7 @@
 
 
 def test_jobs_without_an_end_stay_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("linkspan.report.reader.MOST_OPEN_JOBS", 10)
+    monkeypatch.setattr("linkspan.report.reader.MAX_OPEN_JOBS", 10)
     reader = LogReader()
     reader.read(line(1.0, 520, job=f"{n}", queue="q") for n in range(100))
     assert reader.open_jobs == 100
