--- a/src/linkspan/shard/reports/__init__.py
+++ b/src/linkspan/shard/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What executors say: runs found, missing and ended, and which executors are there."""
+"""Handling of executor reports: found, missing and ended runs, crashes, restarts and liveness."""
--- a/src/linkspan/shard/reports/_crash_weights.py
+++ b/src/linkspan/shard/reports/_crash_weights.py
@@ -1,4 +1,4 @@
-"""What the crash of an executor says against a run that was there."""
+"""Rates how strongly an executor's crash counts against a run that was there."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 if TYPE_CHECKING:
     from linkspan.shard.attempt import Attempt
 
-MIN_SHARE = 0.5
-"""Share of its expected length that a run takes at the least: a caller's guess is rough."""
+MIN_DURATION_SHARE = 0.5
+"""Smallest share of its expected duration that a run is assumed to take: callers' estimates are
+rough."""
 
 
-def worked_s(attempt: Attempt, crashed_at: float) -> float:
-    """Return how long a run was on its executor when that fell, in seconds.
+def time_on_executor_s(attempt: Attempt, crashed_at: float) -> float:
+    """Return how long a run was on its executor before the crash, in seconds.
 
-    A start that was not answered may have begun when it was ordered.
+    An unanswered start may have begun as soon as it was ordered.
     """
-    began = attempt.placed_at if attempt.confirmed_at == NEVER else attempt.confirmed_at
-    return max(crashed_at - began, 0.0)
+    started_at = attempt.placed_at if attempt.confirmed_at == NEVER else attempt.confirmed_at
+    return max(crashed_at - started_at, 0.0)
 
 
-def was_heard(attempt: Attempt) -> bool:
-    """Whether a run is known to have been there: its start was answered, by what is on record."""
+def is_confirmed(attempt: Attempt) -> bool:
+    """Whether a run certainly started: this owner or the record knows that it was answered."""
     if attempt.carried_over:
         return False
     return attempt.confirmed_at != NEVER or (
@@ -39,63 +40,66 @@
 
 
 def is_certain(attempt: Attempt, crashed_at: float) -> bool:
-    """Whether a run cannot have ended between its last sign and the fall of its executor.
+    """Whether a run cannot have ended between its last report and its executor's crash.
 
     Args:
         attempt: The run.
-        crashed_at: Steady time by which the executor had fallen.
+        crashed_at: Steady time by which the executor had crashed.
     """
-    if not was_heard(attempt) or attempt.phase is Phase.STOPPING:
+    if not is_confirmed(attempt) or attempt.phase is Phase.STOPPING:
         return False
-    length_s = _length_s(attempt)
-    if length_s == float("inf"):
+    expected_s = _expected_s(attempt)
+    if expected_s == float("inf"):
         return True
-    if not attempt.recovered and crashed_at - attempt.placed_at < MIN_SHARE * length_s:
+    if not attempt.recovered and crashed_at - attempt.placed_at < MIN_DURATION_SHARE * expected_s:
         return True
-    left_s = length_s * (1.0 - attempt.progress / FULL_PROGRESS) if attempt.progress else length_s
-    return crashed_at - attempt.progress_at < MIN_SHARE * left_s
+    remaining_s = (
+        expected_s * (1.0 - attempt.progress / FULL_PROGRESS) if attempt.progress else expected_s
+    )
+    return crashed_at - attempt.progress_at < MIN_DURATION_SHARE * remaining_s
 
 
-def counts_unheard(attempt: Attempt) -> bool:
-    """Whether a crash counts whose run may never have been there.
+def counts_unconfirmed(attempt: Attempt) -> bool:
+    """Whether a crash counts against a run that may never have started there.
 
-    A start without an answer, or with another order on its way, goes on to the next life, and
-    would count there once more; and it is not the one that gives a task up, unless others like it
-    had put that off. A former owner may have had the answer, and been lost before it was on record:
-    such a run counts, as no verdict comes by it.
+    An unanswered start, or one with another order that may still arrive, is carried over to the
+    next incarnation, where a crash would count a second time. Such a crash is also not the one that
+    makes the owner give a task up, unless earlier unconfirmed crashes deferred that. A recovered
+    run counts: its former owner may have had the answer and ended before recording it, and such a
+    crash alone never makes the owner give the task up.
     """
-    known = attempt.task.crash_history
-    if known is None:
+    history = attempt.task.crash_history
+    if history is None:
         return True
-    unheard = known.crash_count - known.confirmed_count
-    if known.counts_run(attempt.run):
+    unconfirmed = history.crash_count - history.confirmed_count
+    if history.counts_run(attempt.run):
         return False
-    return attempt.recovered or not known.at_crash_limit or unheard > 0
+    return attempt.recovered or not history.at_crash_limit or unconfirmed > 0
 
 
-def stands_out(attempt: Attempt, suspects: list[Attempt]) -> bool:
-    """Whether no other task that was there is suspected as much as this one, or more."""
+def has_highest_score(attempt: Attempt, suspects: list[Attempt]) -> bool:
+    """Whether a run's task has a higher crash score than every other suspect on the executor."""
     others = [other for other in suspects if other is not attempt]
-    return all(_suspected(other) < _suspected(attempt) for other in others)
+    return all(_score(other) < _score(attempt) for other in others)
 
 
-def _suspected(attempt: Attempt) -> int:
+def _score(attempt: Attempt) -> int:
     return attempt.task.crash_history.crash_score if attempt.task.crash_history else 0
 
 
-def points_of(attempt: Attempt, worked: float) -> int:
-    """Return what a crash counts under a run that was there for some seconds."""
+def crash_score_of(attempt: Attempt, elapsed_s: float) -> int:
+    """Return the score of a crash for a run that was there for some seconds."""
     if attempt.confirmed_at == NEVER:
-        # It may have come to an executor that had fallen already, or never.
+        # The start may have reached an executor that had crashed already, or none.
         return MIN_CRASH_SCORE
-    if attempt.recovered or worked > min(EARLY_CRASH_S, _length_s(attempt)):
+    if attempt.recovered or elapsed_s > min(EARLY_CRASH_S, _expected_s(attempt)):
         return MIN_CRASH_SCORE
-    return EARLY_CRASH_SCORE if worked > IMMEDIATE_CRASH_S else IMMEDIATE_CRASH_SCORE
+    return EARLY_CRASH_SCORE if elapsed_s > IMMEDIATE_CRASH_S else IMMEDIATE_CRASH_SCORE
 
 
-def _length_s(attempt: Attempt) -> float:
+def _expected_s(attempt: Attempt) -> float:
     """Return how long a run is expected to take, in seconds.
 
-    One that was there for longer may have ended before the fall, unheard.
+    A run that was there for longer may have ended, unreported, before the crash.
     """
     return attempt.task.step.expected_s or float("inf")
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -1,8 +1,8 @@
-"""Executors that crashed, the tasks that were there, and what that says of them.
+"""Records executor crashes in the crash history of the tasks that were running there.
 
-A run that ends with its executor has no end that anyone tells. It is counted here, at its
-task and on record, or what crashes its executors would be started for ever, each time with
-the loss of all that runs beside it.
+No executor reports the end of a run that ended in a crash. The crash is therefore counted at the
+task and stored with its progress. Otherwise a task that crashes its executors would be restarted
+forever, and each crash would end all other runs on the same executor.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 )
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.reports._crash_weights import (
-    counts_unheard,
+    counts_unconfirmed,
+    crash_score_of,
+    has_highest_score,
     is_certain,
-    points_of,
-    stands_out,
-    was_heard,
-    worked_s,
+    is_confirmed,
+    time_on_executor_s,
 )
 from linkspan.shard.reports._executor_crashes import (
     MIN_REPEATED_CRASHES,
@@ -52,23 +52,26 @@
     from linkspan.shard.task import Task
 
 MAX_REMEMBERED_CRASHES = 64
-"""Falls that are looked back on: a hall has more executors only where hundreds of hosts are."""
+"""Executor crashes that are remembered, the newest. A hall has more executors only if it has
+hundreds of hosts."""
 
 MIN_SIMULTANEOUS_CRASHES = 2
-"""Executors that fell beside one, with no suspect tried there, from which on it convicts nobody: a
-rack or a hall falls by itself. What crashes them falls alone once it is tried apart."""
+"""Other executors that crashed at the same time without running an isolated task, from which on a
+crash makes the owner give up no task: such crashes are caused by a failing rack or hall. A task
+that crashes executors does so alone once it is isolated."""
 
 GIVE_UP_DELAY_S = 0.5
-"""Time after a crash after which it convicts: of executors that fall at once the first is found
-some hundred milliseconds before the others."""
+"""Delay between a crash and giving up a task for it: of executors that crash at the same time, the
+first is detected some hundred milliseconds before the others."""
 
 MAX_LOGGED_TASKS = 20
-"""Tasks that a line on a crash names, those that began last first: what crashes an executor
-does so soon, and an executor of a wide step holds more than a line can."""
+"""Tasks that a log line on a crash lists, those started last first: a task that crashes its
+executor usually does so soon, and an executor of a wide step runs more tasks than fit into a
+line."""
 
 
 class CrashTracker:
-    """Counts crashes at the tasks that were there, and gives up those that they name.
+    """Counts crashes against the tasks that were running and gives up tasks that cause them.
 
     Args:
         state: The shard's state.
@@ -76,21 +79,21 @@
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
-        self._accused: dict[Task, tuple[Attempt, float]] = {}
+        self._pending_give_ups: dict[Task, tuple[Attempt, float]] = {}
 
     def __repr__(self) -> str:
         return f"CrashTracker({len(self._state.executor_crashes)} falls)"
 
     def on_gone(self, executor: ExecutorState, now: float, proof: str) -> None:
-        """Take in that an incarnation ended; its attempts are still on the books."""
-        self._on_end(executor, now, proof, sure=True)
+        """Handle the end of an incarnation whose attempts are still in the shard's state."""
+        self._on_end(executor, now, proof, ended=True)
 
     def on_lost(self, executor: ExecutorState, now: float) -> None:
-        """Take in that an executor is neither heard nor registered; it may only be cut off."""
-        self._on_end(executor, now, "leases ended and no entry", sure=False)
+        """Handle an executor that is silent and not registered; it may only be cut off."""
+        self._on_end(executor, now, "leases expired and registry entry missing", ended=False)
 
     def on_ends(self, incarnation: str, ended: Iterable[EndedTask]) -> None:
-        """Take in ends that were told by a life that is over: those runs did not crash it."""
+        """Handle ends that an ended incarnation had reported: these runs did not crash it."""
         for end in ended:
             task = self._state.find_task(end.task)
             crash = (
@@ -100,14 +103,16 @@
                 self._retract(task, incarnation)
 
     def retract(self, incarnation: str, reason: str) -> None:
-        """Take in that the end of a life was no crash: it speaks against nobody, and for nobody.
+        """Retract the crash of an incarnation that did not crash, so that it counts in no decision.
 
         Args:
-            incarnation: Name of the life.
-            reason: What tells so, for the log.
+            incarnation: Name of the incarnation.
+            reason: Evidence that it did not crash, for the log.
         """
         self._state.executor_crashes = [
-            fall for fall in self._state.executor_crashes if fall.executor_id != incarnation
+            executor_crash
+            for executor_crash in self._state.executor_crashes
+            if executor_crash.executor_id != incarnation
         ]
         tasks = [
             t
@@ -132,132 +137,144 @@
             run = task.step.run
             self._state.mark_dirty(run)
             if task.managed_by is not None:
-                # The loan was told of it, and brings it back.
+                # The delegation includes this crash and would restore it when the task is returned.
                 task.retracted_crashes.add(incarnation)
             self._state.set_crash_history(
                 task, retract_crash(task.crash_history, incarnation, run.version)
             )
 
-    def _on_end(self, executor: ExecutorState, now: float, proof: str, *, sure: bool) -> None:
+    def _on_end(self, executor: ExecutorState, now: float, proof: str, *, ended: bool) -> None:
         attempts = list(executor.attempts.values()) or executor.expired_attempts
         crashed_at = now if executor.silent_since is None else executor.silent_since
         if executor.left_as_planned:
             return
-        fall = _fall(executor, crashed_at)
-        beside = self._falls_beside(fall)
-        # Also of an idle one: that it fell speaks for what was on those that fell beside it.
+        executor_crash = _executor_crash(executor, crashed_at)
+        simultaneous = self._simultaneous_crashes(executor_crash)
+        # Idle executors are recorded, too: their crash speaks for the tasks on those that crashed
+        # simultaneously.
         self._state.executor_crashes = [
             *self._state.executor_crashes[1 - MAX_REMEMBERED_CRASHES :],
-            fall,
+            executor_crash,
         ]
-        if not fall.had_isolated_task:
-            self._excuse(beside)
+        if not executor_crash.had_isolated_task:
+            self._clear_blame_of(simultaneous)
         if not attempts:
             return
         self._state.count("crashes")
-        by_age = sorted(attempts, key=lambda a: worked_s(a, crashed_at))
-        self._log(executor, by_age, crashed_at, now, proof=proof, beside=len(beside))
-        untried = sum(not other.had_isolated_task for other in beside)
+        by_age = sorted(attempts, key=lambda a: time_on_executor_s(a, crashed_at))
+        self._log(executor, by_age, crashed_at, now, proof=proof, simultaneous=len(simultaneous))
+        unexplained = sum(not other.had_isolated_task for other in simultaneous)
         suspects = [a for a in attempts if a.task.needs_isolation]
-        named = [a for a in attempts if sure and not untried and stands_out(a, suspects)]
-        before = {a.task for a in attempts if a.task.crash_history}
+        blamed = [
+            a for a in attempts if ended and not unexplained and has_highest_score(a, suspects)
+        ]
+        tasks_with_history = {a.task for a in attempts if a.task.crash_history}
         for attempt in by_age:
-            worked = worked_s(attempt, crashed_at)
+            elapsed_s = time_on_executor_s(attempt, crashed_at)
             crash = Crash(
                 executor.executor_id,
                 attempt.run,
-                points_of(attempt, worked) if attempt in named else MIN_CRASH_SCORE,
-                was_heard(attempt),
+                crash_score_of(attempt, elapsed_s) if attempt in blamed else MIN_CRASH_SCORE,
+                is_confirmed(attempt),
                 executor.record.address,
-                sure and is_certain(attempt, crashed_at),
+                ended and is_certain(attempt, crashed_at),
+            )
+            self._add_to_history(
+                attempt, elapsed_s, crash, alone=tasks_with_history <= {attempt.task}
             )
-            self._count(attempt, worked, crash, alone=before <= {attempt.task})
-        fall.blamed_tasks.update(a.task for a in named)
+        executor_crash.blamed_tasks.update(a.task for a in blamed)
         for attempt in by_age:
-            self._accuse(attempt, now, convicts=untried < MIN_SIMULTANEOUS_CRASHES)
+            self._schedule_give_up(attempt, now, may_give_up=unexplained < MIN_SIMULTANEOUS_CRASHES)
 
-    def _excuse(self, beside: Iterable[ExecutorCrash]) -> None:
-        """Take back what falls named, now that another one beside them was found."""
-        for other in beside:
+    def _clear_blame_of(self, simultaneous: Iterable[ExecutorCrash]) -> None:
+        """Clear the blame from earlier crashes, now that a simultaneous crash was found."""
+        for other in simultaneous:
             for task in other.blamed_tasks:
                 if task.crash_history:
                     run = task.step.run
                     self._state.mark_dirty(run)
-                    excused = clear_blame(task.crash_history, other.executor_id, run.version)
-                    self._state.set_crash_history(task, excused)
+                    cleared = clear_blame(task.crash_history, other.executor_id, run.version)
+                    self._state.set_crash_history(task, cleared)
             other.blamed_tasks.clear()
 
-    def _falls_beside(self, fall: ExecutorCrash) -> list[ExecutorCrash]:
-        """Return the other executors that may have fallen at the same time."""
+    def _simultaneous_crashes(self, executor_crash: ExecutorCrash) -> list[ExecutorCrash]:
+        """Return the other executors that may have crashed at the same time."""
         silent = (
-            _fall(e, e.silent_since)
+            _executor_crash(e, e.silent_since)
             for e in self._state.executors.values()
             if e.silent_since is not None
         )
         return [
             other
             for other in (*self._state.executor_crashes, *silent)
-            if _id(other) != _id(fall) and fall.may_be_simultaneous_with(other)
+            if _id_without_start_time(other) != _id_without_start_time(executor_crash)
+            and executor_crash.may_be_simultaneous_with(other)
         ]
 
-    def _count(self, attempt: Attempt, worked: float, crash: Crash, *, alone: bool) -> None:
-        """Count a crash at a task that was there.
+    def _add_to_history(
+        self, attempt: Attempt, elapsed_s: float, crash: Crash, *, alone: bool
+    ) -> None:
+        """Add a crash to the history of a task that was running at the time.
 
         Args:
-            attempt: Its run.
-            worked: For how long that was there, in seconds.
+            attempt: The task's run.
+            elapsed_s: How long the run had been on the executor, in seconds.
             crash: The crash.
-            alone: Whether no other task was there under which an executor had crashed before.
+            alone: Whether no other task on the executor has a crash history.
         """
         task = attempt.task
         if task.done or task.step.run.job.closing:
             return
-        if worked >= CLEARED_AFTER_S:
+        if elapsed_s >= CLEARED_AFTER_S:
             self._state.set_crash_history(task, None)
             return
-        if not crash.confirmed and not counts_unheard(attempt):
+        if not crash.confirmed and not counts_unconfirmed(attempt):
             return
         run = task.step.run
         self._state.mark_dirty(run)
-        known = add_crash(task.crash_history, crash, run.version, alone=alone)
-        self._state.set_crash_history(task, replace(known, give_up_deferred=known.should_give_up))
+        history = add_crash(task.crash_history, crash, run.version, alone=alone)
+        self._state.set_crash_history(
+            task, replace(history, give_up_deferred=history.should_give_up)
+        )
 
-    def _accuse(self, attempt: Attempt, now: float, *, convicts: bool) -> None:
-        """Give a task up that is convicted, unless a fall beside is found right after.
+    def _schedule_give_up(self, attempt: Attempt, now: float, *, may_give_up: bool) -> None:
+        """Schedule giving up a task with too many crashes, unless a simultaneous crash is found.
 
         Args:
-            attempt: A run of it that was there.
+            attempt: A run of the task that was on the crashed executor.
             now: Steady time.
-            convicts: Whether the crash may be the last one: not where others fell beside without
-                cause. That spares a task once, as the platform bears one start more.
+            may_give_up: Whether this crash may be the task's last one. It may not if other
+                executors crashed at the same time without an isolated task. That spares a task
+                once, as the platform tolerates one more start.
         """
         task = attempt.task
-        known = task.crash_history
-        if known is None or task in self._accused:
+        history = task.crash_history
+        if history is None or task in self._pending_give_ups:
             return
-        if not known.should_give_up_with(self._least_certain(known, now)):
+        if not history.should_give_up_with(self._min_certain_crashes(history, now)):
             return
-        if convicts or known.crash_count > MAX_CONFIRMED_CRASHES:
-            self._accused[task] = attempt, now + GIVE_UP_DELAY_S
-            # Until the verdict, however late that comes: a plan may be made right before it.
+        if may_give_up or history.crash_count > MAX_CONFIRMED_CRASHES:
+            self._pending_give_ups[task] = attempt, now + GIVE_UP_DELAY_S
+            # Block starts until the decision, however late it comes: a plan may be made right
+            # before it.
             task.not_before = float("inf")
 
     def tick(self, now: float) -> None:
-        """Give up the tasks whose time has come."""
-        due = [task for task, (_, at) in self._accused.items() if at <= now]
+        """Give up the scheduled tasks whose delay has passed."""
+        due = [task for task, (_, at) in self._pending_give_ups.items() if at <= now]
         for task in due:
-            attempt, _ = self._accused.pop(task)
+            attempt, _ = self._pending_give_ups.pop(task)
             task.not_before = now
             self._give_up(attempt, now)
 
-    def _least_certain(self, known: CrashHistory, now: float) -> int:
-        """Return how many crashes of a task must be certain for what they count to decide."""
-        incarnations = {crash.incarnation for crash in known.identified_crashes}
+    def _min_certain_crashes(self, history: CrashHistory, now: float) -> int:
+        """Return how many of a task's crashes must be certain before the owner gives it up."""
+        incarnations = {crash.incarnation for crash in history.identified_crashes}
         others = sum(
-            not fall.had_isolated_task
-            and fall.executor_id not in incarnations
-            and now - fall.by < RECENT_CRASH_S
-            for fall in self._state.executor_crashes
+            not executor_crash.had_isolated_task
+            and executor_crash.executor_id not in incarnations
+            and now - executor_crash.silent_since < RECENT_CRASH_S
+            for executor_crash in self._state.executor_crashes
         )
         return (
             MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL
@@ -268,10 +285,10 @@
     def _give_up(self, attempt: Attempt, now: float) -> None:
         task = attempt.task
         job = task.step.run.job
-        known = task.crash_history
-        if task.done or known is None or job.closing:
+        history = task.crash_history
+        if task.done or history is None or job.closing:
             return
-        if not known.should_give_up_with(self._least_certain(known, now)):
+        if not history.should_give_up_with(self._min_certain_crashes(history, now)):
             return
         self._state.count("tasks_given_up")
         self._state.log_run(
@@ -279,10 +296,10 @@
             attempt.executor_id,
             task.name,
             attempt.run,
-            crashes=known.crash_count,
-            heard=known.confirmed_count,
-            certain=known.certain_count,
-            points=known.crash_score,
+            crashes=history.crash_count,
+            heard=history.confirmed_count,
+            certain=history.certain_count,
+            points=history.crash_score,
         )
         why = {"reason": GIVE_UP_REASON, "task": short_name(task.name), "run": attempt.run}
         self._state.decide(job, JobState.FAILED, **why)
@@ -295,41 +312,48 @@
         now: float,
         *,
         proof: str,
-        beside: int,
+        simultaneous: int,
     ) -> None:
-        tasks = {_name(a): _told(a, crashed_at) for a in by_age}
+        tasks = {_run_name(a): _logged_figures(a, crashed_at) for a in by_age}
         self._state.log(
             Event.EXECUTOR_CRASHED,
             executor=executor.executor_id,
             address=executor.record.address,
             proof=proof,
             fell_s=round(now - crashed_at, 3),
-            fell_beside=beside,
+            fell_beside=simultaneous,
             runs=len(tasks),
             tasks=dict(list(tasks.items())[:MAX_LOGGED_TASKS]),
         )
 
 
-def _fall(executor: ExecutorState, by: float) -> ExecutorCrash:
-    heard_at = executor.clock.observed_at if executor.clock else NEVER
-    # Starts are answered, too, if not by whom.
-    after = max([heard_at, *(a.confirmed_at for a in executor.attempts.values())])
-    tried = any(attempt.isolated for attempt in executor.attempts.values())
-    return ExecutorCrash(executor.executor_id, executor.record.address, after, by, tried, set())
+def _executor_crash(executor: ExecutorState, silent_since: float) -> ExecutorCrash:
+    observed_at = executor.clock.observed_at if executor.clock else NEVER
+    # Answers to starts count, too, although they do not name the incarnation.
+    last_answer_at = max([observed_at, *(a.confirmed_at for a in executor.attempts.values())])
+    had_isolated_task = any(attempt.isolated for attempt in executor.attempts.values())
+    return ExecutorCrash(
+        executor.executor_id,
+        executor.record.address,
+        last_answer_at,
+        silent_since,
+        had_isolated_task,
+        set(),
+    )
 
 
-def _told(attempt: Attempt, crashed_at: float) -> list[float]:
-    """Return how long a run was there, and the crashes under its task before and their points."""
-    known = attempt.task.crash_history
-    before = [known.crash_count, known.crash_score] if known else [0, 0]
-    return [round(worked_s(attempt, crashed_at), 3), *before]
+def _logged_figures(attempt: Attempt, crashed_at: float) -> list[float]:
+    """Return how long a run was on its executor, and the task's earlier crash count and score."""
+    history = attempt.task.crash_history
+    earlier = [history.crash_count, history.crash_score] if history else [0, 0]
+    return [round(time_on_executor_s(attempt, crashed_at), 3), *earlier]
 
 
-def _id(fall: ExecutorCrash) -> str:
-    """Return the id of an executor that fell; two of its lives never fall at the same time."""
-    return Incarnation.of(fall.executor_id).executor_id
+def _id_without_start_time(executor_crash: ExecutorCrash) -> str:
+    """Return a crashed executor's id without start time; its incarnations never overlap."""
+    return Incarnation.of(executor_crash.executor_id).executor_id
 
 
-def _name(attempt: Attempt) -> str:
+def _run_name(attempt: Attempt) -> str:
     task = attempt.task.name
     return f"{task.job_id}.{task.repetition}.{task.step}.{task.index}/{attempt.run}"
--- a/src/linkspan/shard/reports/_ends.py
+++ b/src/linkspan/shard/reports/_ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs: tasks that are done, failures and what they lead to."""
+"""Applies the reported ends of runs: completed tasks, failures and their consequences."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     from linkspan.shard.task import Task
 
 MAX_UNKNOWN_LINES_PER_S = 20
-"""Lines a second on ends of jobs that are not in the books: a first report after a takeover
-may list hundreds of jobs that have ended, and who looks for one run reads all hosts' logs."""
+"""Log lines per second on ends of unknown jobs: a first report after a takeover may list hundreds
+of ended jobs, and finding one run means searching the logs of all hosts."""
 
 
 class Ends:
-    """Acts on the ends that executors list.
+    """Applies the ends that executors report.
 
     Args:
         state: The shard's state.
@@ -42,33 +42,34 @@
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
-        self._unknown = LogRateLimiter(MAX_UNKNOWN_LINES_PER_S)
+        self._unknown_ends = LogRateLimiter(MAX_UNKNOWN_LINES_PER_S)
 
     def __repr__(self) -> str:
         return f"Ends({self._state!r})"
 
     def on_end(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
-        """Act on an end; it is acknowledged once what follows from it is durable."""
+        """Apply an end; it is acknowledged once its consequences are durable."""
         executor.last_handled_end = end.number
         task = self._state.find_task(end.task)
         run = task.step.run if task else None
         attempt = executor.attempts.get((end.task, end.run))
-        held_until = _held_until(executor, end, task, attempt, now)
+        withheld_until = _withheld_until(executor, end, task, attempt, now)
         if task:
-            # Also a run that only its end tells of: the job must not move whole any more.
+            # Applies also to a run known only by its end: the job must no longer be moved as a
+            # whole.
             self._state.mark_begun(task.step.run.job)
             self._apply_end(executor, task, end, now)
         else:
             self._log_unknown(executor, end, now)
         version = run.version if run else 0
-        executor.unacked.append(UnackedEnd(end.number, run, version, held_until))
-        if held_until > now:
+        executor.unacked.append(UnackedEnd(end.number, run, version, withheld_until))
+        if withheld_until > now:
             executor.withheld_ends.add(end.number)
             self._state.withheld_count += 1
 
     def _log_unknown(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
-        """Tell of an end that is taken note of with nothing durable."""
-        left_out = self._unknown.take(now)
+        """Log an end of an unknown job, which has no effect on durable state."""
+        left_out = self._unknown_ends.take(now)
         if left_out is None:
             return
         self._state.log_run(
@@ -104,12 +105,13 @@
     def _on_done(
         self, executor: ExecutorState, task: Task, attempt: Attempt | None, now: float
     ) -> None:
-        self._state.health.succeeded(executor.executor_id)
+        self._state.health.record_success(executor.executor_id)
         if task.done:
             return
         if attempt and attempt.confirmed_at > 0 and not attempt.recovered:
-            # Of a run that was taken over only the rest was seen: its like would seem to straggle.
-            self._note_duration(executor, task, attempt.worked_by(now), now)
+            # The start of a recovered run was not observed: the measured remainder would make
+            # similar runs look like stragglers.
+            self._record_task_duration(executor, task, attempt.worked_by(now), now)
         if task.step.spec.gang:
             for member in task.step.tasks:
                 self._mark_done(member, now)
@@ -117,17 +119,17 @@
             self._mark_done(task, now)
         run = task.step.run
         if task.step.remaining_tasks == 0:
-            self._note_length(task.step)
+            self._record_step_duration(task.step)
             self._state.open_steps(run, now)
         if run.done:
             self._state.finish_if_done(run.job)
 
-    def _note_length(self, step: StepRun) -> None:
-        lengths = self._state.durations
-        record_duration(step, lengths)
-        if lengths.learnt % REFRESH_EVERY == 0:
+    def _record_step_duration(self, step: StepRun) -> None:
+        estimator = self._state.durations
+        record_duration(step, estimator)
+        if estimator.learnt % REFRESH_EVERY == 0:
             for job in self._state.jobs.values():
-                update_expected_durations(job, lengths)
+                update_expected_durations(job, estimator)
 
     def _mark_done(self, task: Task, now: float) -> None:
         if task.done:
@@ -135,43 +137,43 @@
         task.done = True
         task.step.remaining_tasks -= 1
         for other in task.attempts:
-            # The run that ended is detached; a copy of it is no longer wanted.
-            # Members of a gang end by themselves.
+            # The run that ended is detached; its speculative copy is no longer needed. Members of a
+            # gang end by themselves.
             if not task.step.spec.gang:
                 self._state.order_stop(other, now)
 
-    def _note_duration(
-        self, executor: ExecutorState, task: Task, took_s: float, now: float
+    def _record_task_duration(
+        self, executor: ExecutorState, task: Task, duration_s: float, now: float
     ) -> None:
         step = task.step
-        step.durations.append(took_s)
+        step.durations.append(duration_s)
         if step.spec.best_effort or step.spec.checkpoints or len(step.durations) < 3:
             return
-        like = step.median_s
-        if like > 0:
-            self._state.health.took(executor.executor_id, took_s / like, now)
+        median_s = step.median_s
+        if median_s > 0:
+            self._state.health.took(executor.executor_id, duration_s / median_s, now)
 
     def _on_failed(self, executor: ExecutorState, task: Task, end: EndedTask, now: float) -> None:
         job = task.step.run.job
         if task.done or job.closing:
             return
         if task.step.spec.standing:
-            # It is started again however often it fails: nothing is counted.
+            # A standing task is restarted regardless of its failures, so they are not counted.
             self._log_failed(executor, end)
-            self._note_health(executor, task, now)
+            self._quarantine_if_failing(executor, task, now)
             return
-        known = task.failures
+        earlier_failures = task.failures
         task.failed = task.failed.with_run(FailedRun(end.run, executor.executor_id))
         failures = task.step.failures if task.step.spec.gang else task.failures
         counts: dict[str, Any] = {"failures": failures, "most": job.max_attempts}
-        if task.failures == known:
-            # It was counted before, and its end had not been acknowledged.
+        if task.failures == earlier_failures:
+            # The failure was counted before, but the end was not acknowledged then.
             self._state.count("failures_heard_again")
             self._log_failed(executor, end, event=Event.FAILURE_HEARD_AGAIN, **counts)
             return
         task.avoided_executors.add(executor.executor_id)
         self._log_failed(executor, end, **counts)
-        self._note_health(executor, task, now)
+        self._quarantine_if_failing(executor, task, now)
         if job.used_up(failures):
             why = used_up(task, failures, job.max_attempts)
             self._state.decide(job, JobState.FAILED, **why, run=end.run)
@@ -186,10 +188,10 @@
     ) -> None:
         self._state.log_run(event, executor.executor_id, end.task, end.run, **counts)
 
-    def _note_health(self, executor: ExecutorState, task: Task, now: float) -> None:
-        """Have an executor rest at which tasks of several jobs failed."""
+    def _quarantine_if_failing(self, executor: ExecutorState, task: Task, now: float) -> None:
+        """Record a failure and quarantine the executor if several jobs in a row failed there."""
         job_id = task.name.job_id
-        until = self._state.health.failed(executor.executor_id, job_id, now)
+        until = self._state.health.record_failure(executor.executor_id, job_id, now)
         if until is None:
             return
         executor.quarantined_until = max(executor.quarantined_until, until)
@@ -200,24 +202,24 @@
         )
 
 
-def _held_until(
+def _withheld_until(
     executor: ExecutorState,
     end: EndedTask,
     task: Task | None,
     attempt: Attempt | None,
     now: float,
 ) -> float:
-    """Return until when a start of a run that ended may be on its way, in steady time."""
+    """Return the steady time until which another start of an ended run may still arrive."""
     if end.number in executor.withheld_ends:
-        # A former owner held it, whose records of the run may be gone.
+        # A former owner withheld this end, and its records of the run may be gone.
         return now + MAX_START_DELAY_S
     if attempt is None:
-        return now + MAX_START_DELAY_S if task and _unrecorded(task, end.run) else NEVER
-    # Of several orders another one may still come; the only one was carried out.
+        return now + MAX_START_DELAY_S if task and _may_be_unrecorded(task, end.run) else NEVER
+    # If several starts were sent, another one may still arrive; a single start has arrived already.
     return NEVER if attempt.sent_once else attempt.start_may_arrive_until
 
 
-def _unrecorded(task: Task, run: int) -> bool:
-    """Whether a former owner began a run, and maybe sent it twice, of which no record tells."""
+def _may_be_unrecorded(task: Task, run: int) -> bool:
+    """Whether a former owner may have started a run, perhaps twice, without a record of it."""
     inherited = task.step.run.job.inherited and not task.done
     return inherited and run >= task.next_run - INHERITED_RUN_GAP
--- a/src/linkspan/shard/reports/_executor_crashes.py
+++ b/src/linkspan/shard/reports/_executor_crashes.py
@@ -1,4 +1,4 @@
-"""Executors that fell, and which of them fell together or again and again."""
+"""Executor crashes, and which of them were simultaneous or repeated at one address."""
 
 from __future__ import annotations
 
@@ -11,47 +11,49 @@
     from linkspan.shard.task import Task
 
 SIMULTANEOUS_CRASH_MARGIN_S = 0.1
-"""Added to the times between which an executor can have fallen: a rack loses its power in
-less, and a task that is started again takes longer to fall once more."""
+"""Margin added to the interval in which an executor can have crashed: a rack loses its power in
+less, and a restarted task takes longer to crash again."""
 
 MIN_REPEATED_CRASHES = 2
-"""Falls at one address within the time below, with no suspect tried there, from which on it may
-be the executor that is at fault."""
+"""Crashes at one address within ``RECENT_CRASH_S``, without an isolated task there, from which on
+the executor itself may be at fault."""
 
 RECENT_CRASH_S = 30.0
-"""Time for which a fall counts against its address."""
+"""Time for which a crash counts against its address."""
 
 
 class ExecutorCrash(NamedTuple):
-    """An executor that fell.
+    """The crash of an executor.
 
     Attributes:
-        executor_id: The executor.
-        address: Where it was.
-        after: Steady time of its last answer.
-        by: Steady time since when it is silent.
-        had_isolated_task: Whether a suspect was tried there, apart from others: that explains it.
-        blamed_tasks: Tasks that it named.
+        executor_id: The executor's incarnation.
+        address: The executor's address.
+        last_answer_at: Steady time of the executor's last answer.
+        silent_since: Steady time since when it has been silent.
+        had_isolated_task: Whether an isolated task ran there, which explains the crash.
+        blamed_tasks: Tasks that the crash counts against as its likely cause.
     """
 
     executor_id: str
     address: str
-    after: float
-    by: float
+    last_answer_at: float
+    silent_since: float
     had_isolated_task: bool
     blamed_tasks: set[Task]
 
     def may_be_simultaneous_with(self, other: ExecutorCrash) -> bool:
-        """Whether two executors may have fallen at the same time."""
+        """Whether two executors may have crashed at the same time."""
         return (
-            self.after <= other.by + SIMULTANEOUS_CRASH_MARGIN_S
-            and other.after <= self.by + SIMULTANEOUS_CRASH_MARGIN_S
+            self.last_answer_at <= other.silent_since + SIMULTANEOUS_CRASH_MARGIN_S
+            and other.last_answer_at <= self.silent_since + SIMULTANEOUS_CRASH_MARGIN_S
         )
 
 
-def crash_prone_addresses(falls: Iterable[ExecutorCrash], now: float) -> set[str]:
-    """Return the addresses at which executors fell again and again of late."""
+def crash_prone_addresses(crashes: Iterable[ExecutorCrash], now: float) -> set[str]:
+    """Return the addresses at which executors crashed repeatedly within ``RECENT_CRASH_S``."""
     counts = Counter(
-        f.address for f in falls if not f.had_isolated_task and now - f.by < RECENT_CRASH_S
+        crash.address
+        for crash in crashes
+        if not crash.had_isolated_task and now - crash.silent_since < RECENT_CRASH_S
     )
     return {address for address, count in counts.items() if count >= MIN_REPEATED_CRASHES}
--- a/src/linkspan/shard/reports/_liveness.py
+++ b/src/linkspan/shard/reports/_liveness.py
@@ -1,4 +1,4 @@
-"""Which executors are there, are silent, or are gone for good."""
+"""Tracks which executors are registered, which are silent and which have ended."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from linkspan.events import Event
 from linkspan.shard.executor import NEVER_LEAVES, ExecutorState
 from linkspan.shard.incarnation import Incarnation
-from linkspan.shard.reports._restarts import unsure_since
+from linkspan.shard.reports._restarts import uncertain_attempts
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -21,42 +21,40 @@
     from linkspan.shard.shard_job import ShardJob
 
 
-INHERITED_GRACE_S = 2.5
-"""Time for which an executor that a former owner used is not taken for gone when its
-entry is missing: after an outage of the store entries are back within about two seconds."""
+INHERITED_ENTRY_GRACE_S = 2.5
+"""Delay added before an executor that a former owner used counts as missing when it has no registry
+entry: after an outage of the store, entries are back within about two seconds."""
 
 
 class ExecutorLiveness:
-    """Tells when what may run on an executor has surely ended.
+    """Determines when everything that may run on an executor has certainly ended.
 
     Args:
         state: The shard's state.
-        crashes: Counts crashes.
-        successions: Keeps what may be at an executor's next life.
+        crashes: Records crashes.
+        restarts: Tracks restarts, and the runs that an executor's next incarnation may have.
     """
 
-    def __init__(
-        self, state: ShardState, crashes: CrashTracker, successions: RestartTracker
-    ) -> None:
+    def __init__(self, state: ShardState, crashes: CrashTracker, restarts: RestartTracker) -> None:
         self._state = state
         self._crashes = crashes
-        self._successions = successions
-        self._inherited_until = float("-inf")
-        self._roster_read = True
+        self._restarts = restarts
+        self._inherited_leases_expire_at = float("-inf")
+        self._roster_readable = True
 
     def __repr__(self) -> str:
         return f"ExecutorLiveness({self._state!r})"
 
     def inherit(self, roster: Iterable[ExecutorRecord], until: float, *, read: bool = True) -> None:
-        """Take over executors on which a former owner may have started work.
+        """Take over the executors on which a former owner may have started work.
 
         Args:
-            roster: Those executors, or those registered where the roster is not readable.
-            until: Steady time by which all leases granted there have ended.
-            read: Whether the roster was read. If not, it may name others, too.
+            roster: These executors, or the registered ones if the roster is not readable.
+            until: Steady time by which all leases that former owners granted there have expired.
+            read: Whether the roster was readable. If not, unlisted executors may run work, too.
         """
-        self._inherited_until = until
-        self._roster_read = read
+        self._inherited_leases_expire_at = until
+        self._roster_readable = read
         for record in roster:
             executor = self._add_executor(record)
             executor.rostered = read
@@ -65,89 +63,90 @@
             self._state.awaiting_report_ids.add(record.executor_id)
 
     def may_start(self, job: ShardJob, now: float) -> bool:
-        """Whether no former owner's unrecorded run of a job can be alive, or have ended unseen.
+        """Whether a job may start: no former owner's unrecorded run of it is alive or ended unseen.
 
-        Told by each executor for itself. One that answers in part is renewed by this owner, so
-        what a former one granted there does not lapse: only a whole report or its silence counts.
+        Each executor must report for itself or lose its leases. An executor that sends only partial
+        reports has its leases renewed by this owner, so leases from a former owner do not expire
+        there. Only a complete report or the executor's silence settles the question.
         """
         if not job.inherited:
             return True
-        if not (self._roster_read or self._over(self._inherited_until, now)):
+        if not (self._roster_readable or self._has_expired(self._inherited_leases_expire_at, now)):
             return False
         unanswered = map(self._state.executors.__getitem__, self._state.awaiting_report_ids)
-        return all(self._lapsed(executor, now) for executor in unanswered)
+        return all(self._leases_expired(executor, now) for executor in unanswered)
 
     def list_executors(
         self, records: Iterable[ExecutorRecord], now: float, *, missing: Mapping[str, float]
     ) -> None:
-        """Take in the executors of the hall that are registered at present.
+        """Apply the current list of executors that are registered in the hall.
 
         Args:
-            records: These executors, also those whose entry went moments ago.
+            records: These executors, including those whose entry was removed moments ago.
             now: Steady time.
-            missing: Since when entries of some of them are missing, in steady time.
+            missing: Steady time since when an entry has been missing, by executor id.
         """
-        named = [self._named(record) for record in records]
-        self._excuse_planned(named)
-        listed = {r.executor_id: r for r in named if not self._successions.is_over(r.executor_id)}
+        resolved = [self._with_incarnation(record) for record in records]
+        self._retract_planned_ends(resolved)
+        listed = {r.executor_id: r for r in resolved if not self._restarts.has_ended(r.executor_id)}
         for executor_id, record in listed.items():
-            known = self._state.executors.get(executor_id)
-            if known is None:
+            executor = self._state.executors.get(executor_id)
+            if executor is None:
                 self._state.log(Event.EXECUTOR_SEEN, executor=executor_id, address=record.address)
-                known = self._add_executor(record)
-            known.register(record)
+                executor = self._add_executor(record)
+            executor.register(record)
             if executor_id in missing:
-                # The first time stands: an outage of the store moves the one that is told.
-                known.entry_removed_at = min(missing[executor_id], known.entry_removed_at)
+                # Keep the earliest time: an outage of the store moves the reported one.
+                executor.entry_removed_at = min(missing[executor_id], executor.entry_removed_at)
             else:
-                known.entry_removed_at = NEVER_LEAVES
-            if record.draining and known.leaves_at == NEVER_LEAVES:
+                executor.entry_removed_at = NEVER_LEAVES
+            if record.draining and executor.leaves_at == NEVER_LEAVES:
                 self._state.log(
                     Event.EXECUTOR_DRAINING, executor=executor_id, remaining_s=record.remaining_s
                 )
-                known.leaves_at = now + record.remaining_s
-        for executor_id, known in list(self._state.executors.items()):
+                executor.leaves_at = now + record.remaining_s
+        for executor_id, executor in list(self._state.executors.items()):
             if executor_id in listed:
                 continue
-            if known.missing_since == NEVER_LEAVES:
-                known.missing_since = now if known.listed else now + INHERITED_GRACE_S
-            known.listed = False
+            if executor.missing_since == NEVER_LEAVES:
+                executor.missing_since = now if executor.listed else now + INHERITED_ENTRY_GRACE_S
+            executor.listed = False
 
     def on_gone(self, executor_id: str, now: float, proof: str, *, since: float | None) -> None:
-        """Take in that an incarnation is gone, with all that ran on it.
+        """Handle the end of an incarnation and of everything that ran on it.
 
         Args:
             executor_id: The incarnation.
             now: Steady time.
-            proof: What tells so, for the log.
-            since: Steady time by which what was answered was surely answered by it. What was
-                answered later, or not at all, may be at a next one under its id. ``None`` where
-                that cannot be, since another id answers at its address.
+            proof: Evidence for the end, for the log.
+            since: Steady time up to which every answer certainly came from this incarnation. Starts
+                answered later, or not at all, may be at the next incarnation of the same id.
+                ``None`` if there can be none, because another id answers at the address.
         """
         executor = self._state.executors.get(executor_id)
         if executor is None:
             return
-        unsure = [] if since is None else unsure_since(executor, since)
-        if executor.is_placeholder and unsure:
-            self._release(executor, now, keep=unsure)
+        uncertain = [] if since is None else uncertain_attempts(executor, since)
+        if executor.is_placeholder and uncertain:
+            self._release(executor, now, keep=uncertain)
             return
         self._state.log(
             Event.EXECUTOR_GONE,
             executor=executor_id,
             proof=proof,
             runs=len(executor.attempts),
-            unsure=len(unsure),
+            unsure=len(uncertain),
         )
         if not executor.is_placeholder:
             self._crashes.on_gone(executor, now, proof)
-        if unsure:
-            self._successions.await_next(executor, unsure, now)
-        # Its registration may outlast it, so its name is kept.
-        self._successions.end(executor, now)
+        if uncertain:
+            self._restarts.carry_over_to_next(executor, uncertain, now)
+        # The registry entry may outlive the incarnation, so its name is remembered as ended.
+        self._restarts.end(executor, now)
         self._release(executor, now)
 
     def on_silent(self, executor_id: str, now: float, *, cause: str = "") -> None:
-        """Take in that a call to an executor got no answer, or none that decodes."""
+        """Handle a call to an executor that got no answer, or an answer that does not decode."""
         executor = self._state.executors.get(executor_id)
         if executor is None:
             return
@@ -159,30 +158,31 @@
                 runs=len(executor.attempts),
                 cause=cause,
             )
-        if self._lapsed(executor, now) and self._held(executor):
-            self._on_lapsed(executor, now)
+        if self._leases_expired(executor, now) and self._is_awaited(executor):
+            self._on_leases_expired(executor, now)
 
-    def _excuse_planned(self, records: Iterable[ExecutorRecord]) -> None:
-        """Take back crashes of executors that had left as planned, as entries tell that come late.
+    def _retract_planned_ends(self, records: Iterable[ExecutorRecord]) -> None:
+        """Retract the crashes of executors that left as planned, if their entries say so late.
 
-        The store may tell that an executor leaves after another one answers at its address.
+        The store may report that an executor is leaving after another one answers at its address.
         """
         for record in records:
             if record.draining and record.executor_id not in self._state.executors:
-                self._crashes.retract(record.executor_id, "it left as planned")
+                self._crashes.retract(record.executor_id, "the executor left as planned")
 
-    def _named(self, record: ExecutorRecord) -> ExecutorRecord:
-        """Return an entry under the name of the life that it is of.
+    def _with_incarnation(self, record: ExecutorRecord) -> ExecutorRecord:
+        """Return a registry entry under the name of the incarnation that it belongs to.
 
-        One without a birth is of whichever life of its id answers.
+        An entry without a start time belongs to whichever incarnation of its id has reported.
         """
         if Incarnation.of(record.executor_id).started_at_ms is not None:
             return record
         incarnations = self._state.incarnations_by_id.get(record.executor_id, {})
-        met = next(
-            (name for name, known in incarnations.items() if known.has_reported), record.executor_id
+        reporting = next(
+            (name for name, executor in incarnations.items() if executor.has_reported),
+            record.executor_id,
         )
-        return replace(record, executor_id=met)
+        return replace(record, executor_id=reporting)
 
     def _add_executor(self, record: ExecutorRecord) -> ExecutorState:
         executor = self._state.executors.get(record.executor_id)
@@ -191,23 +191,25 @@
             self._state.add_executor(executor)
         return executor
 
-    def _held(self, executor: ExecutorState) -> bool:
-        """Whether anything waits for what may run on an executor to be over."""
-        waited_for = executor.executor_id in self._state.awaiting_report_ids
-        return waited_for or bool(executor.attempts) or not executor.listed
+    def _is_awaited(self, executor: ExecutorState) -> bool:
+        """Whether the shard waits for everything that may run on an executor to end."""
+        awaited = executor.executor_id in self._state.awaiting_report_ids
+        return awaited or bool(executor.attempts) or not executor.listed
 
-    def _lapsed(self, executor: ExecutorState, now: float) -> bool:
-        """Whether all leases there have ended, whoever granted them."""
+    def _leases_expired(self, executor: ExecutorState, now: float) -> bool:
+        """Whether all leases on an executor have expired, whichever owner granted them."""
         clock = executor.clock
         if clock:
-            return self._over(clock.leases_expired_at(), now)
-        return self._over(max(self._inherited_until, executor.leases_expire_at), now)
+            return self._has_expired(clock.leases_expired_at(), now)
+        return self._has_expired(
+            max(self._inherited_leases_expire_at, executor.leases_expire_at), now
+        )
 
-    def _over(self, ended_at: float, now: float) -> bool:
-        """Whether a lease is over that ends at a steady time, and that no later owner renewed."""
+    def _has_expired(self, ended_at: float, now: float) -> bool:
+        """Whether a lease with this end time has expired and no later owner can have renewed it."""
         return ended_at <= min(now, self._state.sole_owner_until)
 
-    def _on_lapsed(self, executor: ExecutorState, now: float) -> None:
+    def _on_leases_expired(self, executor: ExecutorState, now: float) -> None:
         if executor.attempts:
             self._state.log(
                 Event.LEASES_LAPSED,
@@ -215,7 +217,7 @@
                 runs=len(executor.attempts),
                 silent_s=round(now - (executor.silent_since or now), 2),
             )
-            # A cut looks like a crash until the incarnation is known to be gone.
+            # A network cut looks like a crash until the incarnation is known to have ended.
             executor.expired_attempts = list(executor.attempts.values())
         if not executor.listed and not executor.is_placeholder:
             self._crashes.on_lost(executor, now)
--- a/src/linkspan/shard/reports/_restarts.py
+++ b/src/linkspan/shard/reports/_restarts.py
@@ -1,4 +1,4 @@
-"""Lives of executors that follow one another under one id."""
+"""Tracks executor restarts: incarnations that follow one another under one executor id."""
 
 from __future__ import annotations
 
@@ -17,162 +17,175 @@
     from linkspan.shard.messages import ExecutorReport
     from linkspan.shard.reports._crashes import CrashTracker
 
-ANSWERED_PROOF = "its next life answers"
-"""What proves a life over whose id another one answers under."""
+NEXT_INCARNATION_PROOF = "its next incarnation answers"
+"""Evidence, in the log, for the end of an incarnation whose id another incarnation answers
+under."""
 
 MAX_PASSED_OVER_LINES_PER_S = 5
-"""Lines a second on reports that are passed over; an executor is asked some ten times a second."""
+"""Log lines per second on ignored reports; an executor is polled some ten times per second."""
 
 
 class RestartTracker:
-    """Ends lives whose id another one answers under, and keeps what may be at the next one.
+    """Ends replaced incarnations and carries over the runs that the next one may have.
 
-    Births only tell lives apart. Which of two is the newer is told by which request was sent
-    after the other's answer was read.
+    Start times only distinguish incarnations. An incarnation is newer than another one if it
+    answered a request that was sent after the other one's answer was read.
 
     Args:
         state: The shard's state.
-        crashes: Counts crashes.
+        crashes: Records crashes.
     """
 
     def __init__(self, state: ShardState, crashes: CrashTracker) -> None:
         self._state = state
         self._crashes = crashes
-        self._over: dict[str, float] = {}
-        self._passed_over = LogRateLimiter(MAX_PASSED_OVER_LINES_PER_S)
+        self._ended_at: dict[str, float] = {}
+        self._ignored_reports = LogRateLimiter(MAX_PASSED_OVER_LINES_PER_S)
 
     def __repr__(self) -> str:
-        return f"RestartTracker({len(self._over)} lives over)"
+        return f"RestartTracker({len(self._ended_at)} incarnations ended)"
 
-    def is_over(self, executor_id: str) -> bool:
-        """Whether a life is known to be over."""
-        return executor_id in self._over
+    def has_ended(self, executor_id: str) -> bool:
+        """Whether an incarnation is known to have ended."""
+        return executor_id in self._ended_at
 
     def end(self, executor: ExecutorState, now: float) -> None:
-        """Take a life off the books; what is on it stays for the caller to settle."""
+        """Remove an ended incarnation from the state; the caller resolves its attempts."""
         self._state.remove_executor(executor.executor_id)
         if not executor.is_placeholder:
-            self._over[executor.executor_id] = now
+            self._ended_at[executor.executor_id] = now
         self._state.resolve_inherited(executor.executor_id, "gone")
         self._state.health.forget(executor.executor_id)
 
-    def meet(
+    def match_report(
         self, executor_id: str, report: ExecutorReport, *, asked: float, now: float
     ) -> ExecutorState | None:
-        """Return the life that a report is of, ``None`` if nothing is concluded from it.
+        """Return the incarnation that sent a report, or ``None`` if the report must be ignored.
 
-        Lives before it are over then. What may be there of theirs goes on at its life.
+        Earlier incarnations of its id have then ended. Their attempts that may be at the reporting
+        incarnation are carried over to it.
 
         Args:
-            executor_id: The life that was asked.
+            executor_id: The incarnation that was polled.
             report: The answer.
-            asked: Steady time at which the question was sent.
+            asked: Steady time at which the poll was sent.
             now: Steady time of the answer.
         """
-        name = answering(executor_id, report)
+        name = reporting_incarnation(executor_id, report)
         incarnations = self._state.incarnations_by_id.get(Incarnation.of(name).executor_id, {})
         others = [e for e in incarnations.values() if e.executor_id != name]
-        if asked <= max([self._over.get(name, NEVER), *(e.reported_at for e in others)]):
-            # It may be of a life that ended while this answer was on its way.
-            self.pass_over(name, "another life of its id answered since it was asked", now)
+        if asked <= max([self._ended_at.get(name, NEVER), *(e.reported_at for e in others)]):
+            # The report may be from an incarnation that ended while the answer was in transit.
+            self.log_ignored_report(
+                name, "another incarnation of its id answered after the request was sent", now
+            )
             return None
         executor = self._state.executors.get(name)
         if executor is None:
             known = self._state.executors.get(executor_id) or next(iter(others), None)
             if known is None:
                 return None
-            executor = self._begin(known, name)
-        for former in others:
-            self._succeed(former, executor, report, asked, now)
+            executor = self._add_incarnation(known, name)
+        for previous in others:
+            self._end_previous(previous, executor, report, asked, now)
         return executor
 
     def find(self, executor_id: str, name: str, *, asked: float, now: float) -> None:
-        """Take in a life that answered in another one's place, unless it was known to be over."""
-        if asked <= self._over.get(name, NEVER):
-            self.pass_over(name, "another life of its id answered since it was asked", now)
+        """Add an incarnation that answered in place of another, unless it had ended already."""
+        if asked <= self._ended_at.get(name, NEVER):
+            self.log_ignored_report(
+                name, "another incarnation of its id answered after the request was sent", now
+            )
             return
         known = self._state.executors.get(executor_id)
         if known and name not in self._state.executors:
-            self._begin(known, name)
+            self._add_incarnation(known, name)
 
-    def await_next(self, executor: ExecutorState, unsure: list[Attempt], now: float) -> None:
-        """Keep what an executor's next life may carry out, until that answers or its lease ends."""
+    def carry_over_to_next(
+        self, executor: ExecutorState, uncertain: list[Attempt], now: float
+    ) -> None:
+        """Keep attempts for the next incarnation until it answers or its leases expire."""
         name = Incarnation.of(executor.executor_id).executor_id
-        waiting = self._state.executors.get(name)
-        if waiting is None:
-            waiting = self._begin(executor, name, is_placeholder=True)
-        lapses_at = next_incarnation_lease_expiry(now, self._state.bounds.max_lease_s)
-        waiting.leases_expire_at = max(lapses_at, *(a.start_may_arrive_until for a in unsure))
-        for attempt in unsure:
-            self._move(attempt, executor, waiting, now)
-
-    def pass_over(self, executor_id: str, reason: str, now: float) -> None:
-        """Tell of a report from which nothing is concluded."""
+        placeholder = self._state.executors.get(name)
+        if placeholder is None:
+            placeholder = self._add_incarnation(executor, name, is_placeholder=True)
+        expires_at = next_incarnation_lease_expiry(now, self._state.bounds.max_lease_s)
+        placeholder.leases_expire_at = max(
+            expires_at, *(a.start_may_arrive_until for a in uncertain)
+        )
+        for attempt in uncertain:
+            self._move_to_next(attempt, executor, placeholder, now)
+
+    def log_ignored_report(self, executor_id: str, reason: str, now: float) -> None:
+        """Count and log a report that is ignored."""
         self._state.count("reports_passed_over")
-        left_out = self._passed_over.take(now)
+        left_out = self._ignored_reports.take(now)
         if left_out is not None:
             self._state.log(
                 Event.REPORT_PASSED_OVER, executor=executor_id, reason=reason, left_out=left_out
             )
 
-    def _begin(
+    def _add_incarnation(
         self, known: ExecutorState, name: str, *, is_placeholder: bool = False
     ) -> ExecutorState:
-        """Take in another life of an executor that is known; its own entry follows."""
+        """Add another incarnation of a known executor; its own registry entry follows later."""
         executor = ExecutorState(
             replace(known.record, executor_id=name, is_placeholder=is_placeholder)
         )
         executor.listed = False
-        self._over.pop(name, None)
+        self._ended_at.pop(name, None)
         self._state.add_executor(executor)
         return executor
 
-    def _succeed(
+    def _end_previous(
         self,
-        former: ExecutorState,
+        previous: ExecutorState,
         executor: ExecutorState,
         report: ExecutorReport,
         asked: float,
         now: float,
     ) -> None:
-        """End a life that another one follows, whose report tells what it has of it."""
-        runs = len(former.attempts)
+        """End a replaced incarnation and carry over the runs that its successor may have.
+
+        The successor's report shows which of them it has.
+        """
+        runs = len(previous.attempts)
         listed = report.keys
-        for attempt in list(former.attempts.values()):
+        for attempt in list(previous.attempts.values()):
             if attempt.key in listed:
-                # An order to the life before came to this one.
-                self._move(attempt, former, executor, now)
-        if _was_there(former):
-            self._crashes.on_gone(former, now, ANSWERED_PROOF)
+                # A start sent to the previous incarnation arrived at this one.
+                self._move_to_next(attempt, previous, executor, now)
+        if _was_observed(previous):
+            self._crashes.on_gone(previous, now, NEXT_INCARNATION_PROOF)
             self._state.count("restarts")
-        unsure = [
+        uncertain = [
             a
-            for a in former.attempts.values()
+            for a in previous.attempts.values()
             if a.unanswered or a.start_may_arrive_until > now or _may_be_unlisted(a, report, asked)
         ]
-        for attempt in unsure:
-            self._move(attempt, former, executor, now)
-        self.end(former, now)
-        lost = list(former.attempts.values())
+        for attempt in uncertain:
+            self._move_to_next(attempt, previous, executor, now)
+        self.end(previous, now)
+        lost = list(previous.attempts.values())
         for attempt in lost:
             self._state.close(attempt, now)
         self._state.log(
             Event.EXECUTOR_RESTARTED,
             executor=executor.executor_id,
-            before=former.executor_id,
+            before=previous.executor_id,
             runs=runs,
             lost=len(lost),
-            unsure=len(unsure),
+            unsure=len(uncertain),
             lists=len(report.running),
             ended=len(report.ended),
-            silent_s=round(now - (former.silent_since or now), 3),
+            silent_s=round(now - (previous.silent_since or now), 3),
         )
 
-    def _move(
-        self, attempt: Attempt, former: ExecutorState, executor: ExecutorState, now: float
+    def _move_to_next(
+        self, attempt: Attempt, previous: ExecutorState, executor: ExecutorState, now: float
     ) -> None:
-        """Have an attempt count at the next life, which knows no stop and no pace of before."""
-        former.remove(attempt)
+        """Move an attempt to the next incarnation, which received no stop and no pace for it."""
+        previous.remove(attempt)
         attempt.executor_id = executor.executor_id
         attempt.listed = False
         attempt.carried_over = True
@@ -180,28 +193,29 @@
         attempt.stop_taken_at = None
         executor.add(attempt)
         if attempt.start_may_arrive_until > now and attempt.phase is Phase.RUNNING:
-            # It ended with the life that it ran on, and an order for it may come to this one.
+            # The run ended with the previous incarnation, and a start may still arrive at the next
+            # one.
             attempt.phase = Phase.DOUBT
         elif attempt.phase is Phase.STOPPING:
             self._state.send_stop(attempt, now)
 
 
-def answering(executor_id: str, report: ExecutorReport) -> str:
-    """Return the name of the life that answered."""
+def reporting_incarnation(executor_id: str, report: ExecutorReport) -> str:
+    """Return the name of the incarnation that sent a report."""
     asked = Incarnation.of(executor_id)
     started_at_ms = asked.started_at_ms if report.started_at_ms is None else report.started_at_ms
     return Incarnation(asked.executor_id, started_at_ms).name
 
 
-def unsure_since(executor: ExecutorState, since: float) -> list[Attempt]:
-    """Return attempts that an executor's next life may have, or may get.
+def uncertain_attempts(executor: ExecutorState, since: float) -> list[Attempt]:
+    """Return the attempts that an executor's next incarnation may run or may still receive.
 
     Args:
-        executor: A life that ended.
-        since: Steady time by which what was answered was answered by that life.
+        executor: An incarnation that ended.
+        since: Steady time up to which every answer certainly came from this incarnation.
     """
     if Incarnation.of(executor.executor_id).started_at_ms is None and not executor.is_placeholder:
-        # Where executors tell no birth, none starts again under its id.
+        # Executors that report no start time do not restart under the same id.
         return []
     return [
         a
@@ -209,22 +223,23 @@
         if a.unanswered
         or a.start_may_arrive_until > since
         or (not a.listed and a.confirmed_at >= since)
-        # A life that nobody met has not seen our token, which a former owner's start is refused by.
+        # An incarnation that never answered has not seen this tenure's fencing token, which makes
+        # it refuse a former owner's starts.
         or (executor.is_placeholder and a.phase is Phase.INHERITED)
     ]
 
 
-def _was_there(former: ExecutorState) -> bool:
-    """Whether a life is known to have been there, and not only by an entry that came late.
+def _was_observed(previous: ExecutorState) -> bool:
+    """Whether an incarnation certainly existed, and is not known only from a late registry entry.
 
-    A record without a birth may be of the life that answers.
+    A record without a start time may belong to the incarnation that now answers.
     """
-    started_at_ms = Incarnation.of(former.executor_id).started_at_ms
-    return started_at_ms is not None and (former.clock is not None or bool(former.attempts))
+    started_at_ms = Incarnation.of(previous.executor_id).started_at_ms
+    return started_at_ms is not None and (previous.clock is not None or bool(previous.attempts))
 
 
 def _may_be_unlisted(attempt: Attempt, report: ExecutorReport, asked: float) -> bool:
-    """Whether a next life may have a run that its report leaves out."""
+    """Whether the next incarnation may have a run that its report omits."""
     if attempt.listed:
         return False
     return not report.is_complete or attempt.confirmed_at >= asked
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -1,4 +1,4 @@
-"""Looks at executors: their reports, their silence and their end."""
+"""Polls executors for their reports, renews their leases and detects their silence and end."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from linkspan.shard.attempt import Phase
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.machines import MachineWatch
-from linkspan.shard.reports._restarts import answering
+from linkspan.shard.reports._restarts import reporting_incarnation
 
 if TYPE_CHECKING:
     from linkspan.shard._context import TenureContext
@@ -19,80 +19,82 @@
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import ExecutorReport
 
-GATHER_S = 0.06
-"""Pause between two looks at an executor: ends that come within it are told
-together. Objectives leave half a second and more beside the work itself."""
+END_BATCH_S = 0.06
+"""Pause between two polls of an executor, so that ends within it arrive in one report. Objectives
+leave half a second or more beyond the work itself."""
 
-IDLE_WAIT_S = 2.0
-"""How long a look waits for an end: the longest that executors grant."""
+MAX_POLL_WAIT_S = 2.0
+"""Time for which an executor may hold a poll open until a run ends: the maximum that executors
+grant."""
 
-LOOKS_PER_LEASE = 6
-"""Looks, each of which renews, that fit into the longest lease at the least."""
+MIN_POLLS_PER_LEASE = 6
+"""Minimum number of polls, each of which renews the lease, within the longest lease."""
 
-PACED_WAIT_S = 0.5
-"""How long it waits where best-effort tasks run beside standing ones: the time
-that a figure of their latency covers."""
+PACED_POLL_WAIT_S = 0.5
+"""Maximum poll wait at executors that run best-effort tasks together with standing ones: the time
+that one latency figure of a standing task covers."""
 
-FIGURES_APART_S = 0.25
-"""Least time between figures of tasks that count, but for looks that waited: they are of the last
-half second, and are told again by looks that follow each other at once."""
+MIN_FIGURES_INTERVAL_S = 0.25
+"""Minimum time between two figures of an executor that count, except from polls that waited. A
+figure covers the last half second, and polls in quick succession would count it repeatedly."""
 
 RETRY_S = 0.15
-"""First pause after a call to an executor got no answer; doubled up to the next.
-A recovery pauses as long when the store does not answer."""
+"""First pause after an unanswered call to an executor; doubled up to ``MAX_RETRY_S``. Recovery
+pauses for the same time when the store does not answer."""
 
 MAX_RETRY_S = 0.6
 """Longest pause between calls to a silent executor."""
 
-FIRST_REFRESH_S = 3.5
-"""Longest wait for the job records behind an executor's first report: a slow link
-brings a read in three seconds, and the shortest lease lasts six."""
+MAX_FIRST_REFRESH_S = 3.5
+"""Longest wait for the job records that an executor's first report depends on: a slow link delivers
+a read in three seconds, and the shortest lease lasts six."""
 
-MACHINES_S = 1.0
-"""Time between looks at the machine service: an executor that crashed is found
-sooner than by its silence, which takes up to three seconds."""
+MACHINE_POLL_INTERVAL_S = 1.0
+"""Time between polls of the machine service, which detects a crashed executor earlier than its
+silence does: that takes up to three seconds."""
 
-MACHINES_AGAIN_S = 0.25
-"""The same where a list left out an executor that is silent: it takes a second list to
-believe it, and what ran there waits for that."""
+MACHINE_RECHECK_INTERVAL_S = 0.25
+"""Time between polls after a list omitted a silent executor: only a second list confirms that the
+machine is gone, and restarts of the runs there wait for it."""
 
 
-ACKNOWLEDGE_WITHIN_S = 0.2
-"""Time after an executor's report within which it may be told to forget ends. A later call may
-come to its next life, whose ends nobody has read; that one has begun, and ended, no run of ours
-so soon after the report of the one before, unless a start is on its way there."""
+MAX_ACKNOWLEDGE_DELAY_S = 0.2
+"""Time after an executor's report within which its ends may be acknowledged. A later call may reach
+the next incarnation, whose ends nobody has read. That incarnation cannot have started and ended a
+run of this owner so soon after the previous one's report, unless a start may still arrive there."""
 
-ENDS_SOON_S = 0.4
-"""Expected length of a run below which it may begin and end within that time: guesses are rough."""
+SHORT_RUN_S = 0.4
+"""Expected duration below which a run may start and end within ``MAX_ACKNOWLEDGE_DELAY_S``:
+estimates are rough."""
 
 
-def acknowledges(executor: ExecutorState, now: float) -> int:
-    """Return the number up to which an executor may be told now to forget its ends.
+def acknowledgeable_end(executor: ExecutorState, now: float) -> int:
+    """Return the number up to which an executor's ends may be acknowledged now.
 
-    It is 0, which forgets nothing, also where there is nothing new. After a silence, a
-    stand-still of this host or a claim an executor is asked first which life it is.
+    The number is 0, which acknowledges nothing, also if there is nothing new. After a silence, a
+    freeze of this host or a claim, the executor must first report which incarnation it is.
     """
-    fresh = executor.silent_since is None and now - executor.answered_at <= ACKNOWLEDGE_WITHIN_S
+    fresh = executor.silent_since is None and now - executor.answered_at <= MAX_ACKNOWLEDGE_DELAY_S
     if not (fresh and executor.ack_pending):
         return 0
-    if any(_may_come_and_end(attempt, now) for attempt in executor.attempts.values()):
+    if any(_may_start_and_end(attempt, now) for attempt in executor.attempts.values()):
         return 0
     return executor.acknowledged
 
 
-def _may_come_and_end(attempt: Attempt, now: float) -> bool:
-    """Whether a start is on its way whose run may have ended where the next look comes to."""
+def _may_start_and_end(attempt: Attempt, now: float) -> bool:
+    """Whether a start may still arrive at the executor and its run may end before the next poll."""
     if attempt.phase is Phase.STARTING:
         return True
-    on_its_way = attempt.unanswered or attempt.start_may_arrive_until > now
-    return on_its_way and attempt.task.step.expected_s < ENDS_SOON_S
+    may_arrive = attempt.unanswered or attempt.start_may_arrive_until > now
+    return may_arrive and attempt.task.step.expected_s < SHORT_RUN_S
 
 
 class ExecutorWatch:
-    """Keeps one look open at each executor and renews the leases there.
+    """Keeps one poll open at each executor and renews the leases there.
 
     Args:
-        context: What the tenure works with.
+        context: Shared objects of the tenure.
     """
 
     def __init__(self, context: TenureContext) -> None:
@@ -107,19 +109,19 @@
         self._proof = context.proof
         self._changes = context.changes
         self._pacer = Pacer(self._core, self._core.interference)
-        # By state and not by name: one that leaves the books may be back at once, under its name.
+        # Keyed by state, not by name: a removed executor may return at once under the same name.
         self._watchers: dict[ExecutorState, asyncio.Task[None] | None] = {}
         self._cancelled = False
-        self._entered = 0
+        self._membership_seen = 0
 
     def __repr__(self) -> str:
         return f"ExecutorWatch(shard={self._shard})"
 
     def watch_all(self) -> None:
-        """Watch each executor that the core knows, and no other."""
+        """Watch each executor in the core's state, and stop watching all others."""
         if self._cancelled:
             return
-        self._entered = self._core.membership_changes
+        self._membership_seen = self._core.membership_changes
         for executor in list(self._watchers.keys() - set(self._core.executors.values())):
             self._end_watch(self._watchers.pop(executor))
         for executor in self._core.executors.values():
@@ -128,7 +130,7 @@
                 self._watchers[executor] = self._scope.spawn(self._watch(executor))
 
     def cancel(self) -> None:
-        """Stop watching for good, without waiting for looks that are open."""
+        """Stop watching for good, without waiting for open polls."""
         self._cancelled = True
         for watcher in self._watchers.values():
             self._end_watch(watcher)
@@ -138,15 +140,15 @@
             watcher.cancel()
 
     async def poll_once(self, executor: ExecutorState) -> None:
-        """Ask an executor for its report now."""
-        await self._look(executor, 0.0)
+        """Poll an executor for its report now."""
+        await self._poll(executor, 0.0)
 
     async def machines_loop(self) -> None:
-        """Find executors whose machine is gone, where a machine service tells."""
-        watch = MachineWatch()
+        """Detect executors whose machine is gone, if the platform has a machine service."""
+        tracker = MachineWatch()
         while self._machines:
-            suspects = watch.missed & self._silent()
-            await asyncio.sleep(MACHINES_AGAIN_S if suspects else MACHINES_S)
+            suspects = tracker.missed & self._silent()
+            await asyncio.sleep(MACHINE_RECHECK_INTERVAL_S if suspects else MACHINE_POLL_INTERVAL_S)
             known = suspects or self._rostered()
             if not known:
                 continue
@@ -154,11 +156,13 @@
             try:
                 machines = await self._machines.machines()
             except Unreachable:
-                # Only a help: leases tell in the end.
+                # The machine service only speeds up detection; expired leases are sufficient.
                 continue
-            for executor_id, since in watch.gone(machines, known, asked=asked).items():
-                self._core.on_gone(executor_id, steady(), "machine lists it no more", since=since)
-                self._follow_lives()
+            for executor_id, since in tracker.gone(machines, known, asked=asked).items():
+                self._core.on_gone(
+                    executor_id, steady(), "machine service no longer lists it", since=since
+                )
+                self._watch_new_incarnations()
                 self._changes.notify()
 
     def _rostered(self) -> set[str]:
@@ -171,36 +175,37 @@
     async def _watch(self, executor: ExecutorState) -> None:
         pause = RETRY_S
         while self._core.executors.get(executor.executor_id) is executor:
-            tells = executor.ack_pending
-            if await self._look(executor, self._wait_for(executor)):
+            acknowledging = executor.ack_pending
+            if await self._poll(executor, self._poll_wait_s(executor)):
                 pause = RETRY_S
-                if not tells or executor.ack_pending or executor.unacked:
-                    await self._settle(executor)
+                if not acknowledging or executor.ack_pending or executor.unacked:
+                    await self._wait_for_acknowledgements(executor)
             else:
                 await asyncio.sleep(pause)
                 pause = min(2 * pause, MAX_RETRY_S)
 
-    def _follow_lives(self) -> None:
-        """Watch a life that was just found, and none that is over."""
-        if self._entered != self._core.membership_changes:
+    def _watch_new_incarnations(self) -> None:
+        """Watch incarnations that were just found, and stop watching those that have ended."""
+        if self._membership_seen != self._core.membership_changes:
             self.watch_all()
 
-    def _wait_for(self, executor: ExecutorState) -> float:
+    def _poll_wait_s(self, executor: ExecutorState) -> float:
         if not executor.has_reported or executor.silent_since is not None:
             return 0.0
         if executor.unacked or executor.ack_pending:
-            # A look that tells an executor to forget ends may come to its next life. Where it
-            # waited there, it would forget ends that nobody has read.
+            # A poll that acknowledges ends may reach the next incarnation. If the poll waited
+            # there, it would acknowledge ends that nobody has read.
             return 0.0
         if executor.best_effort() and executor.standing():
-            return PACED_WAIT_S
-        return min(IDLE_WAIT_S, self._settings.bounds.max_lease_s / LOOKS_PER_LEASE)
+            return PACED_POLL_WAIT_S
+        return min(MAX_POLL_WAIT_S, self._settings.bounds.max_lease_s / MIN_POLLS_PER_LEASE)
 
-    async def _look(self, executor: ExecutorState, wait_s: float) -> bool:
+    async def _poll(self, executor: ExecutorState, wait_s: float) -> bool:
         asked = steady()
-        acknowledged = acknowledges(executor, asked)
+        acknowledged = acknowledgeable_end(executor, asked)
         until = None
-        # A silent executor's lease must run out: it may hear us without being heard.
+        # Do not renew a silent executor's lease, so that it expires: the executor may receive polls
+        # although its answers are lost.
         if executor.clock and executor.silent_since is None and self._proof.may_act(asked):
             until = executor.clock.grant(self._settings.bounds.max_lease_s, asked)
         try:
@@ -214,45 +219,46 @@
                 )
         except WrongIncarnation:
             self._core.on_gone(executor.executor_id, steady(), "another incarnation answers")
-            self._follow_lives()
+            self._watch_new_incarnations()
             self._changes.notify()
             return False
         except Unreachable as error:
             self._core.on_silent(executor.executor_id, steady(), cause=str(error))
             self._changes.notify()
             return False
-        name = answering(executor.executor_id, report)
+        name = reporting_incarnation(executor.executor_id, report)
         if name != executor.executor_id:
-            # It has not seen the token that it is to be asked under.
+            # The new incarnation has not yet seen its own fencing token and must be polled under
+            # it.
             self._core.on_incarnation_found(executor.executor_id, name, asked=asked, now=steady())
-            self._follow_lives()
+            self._watch_new_incarnations()
             return False
         executor.ack_delivered = max(executor.ack_delivered, acknowledged)
         executor.answered_at = steady()
-        report = await self._known_part(report, first=not self._core.has_reported(name))
+        report = await self._without_unread_jobs(report, first=not self._core.has_reported(name))
         now = steady()
         self._count_ends(name, report)
         self._core.on_report(executor.executor_id, report, asked=asked, now=now)
-        if wait_s or now - executor.figures_at >= FIGURES_APART_S:
+        if wait_s or now - executor.figures_at >= MIN_FIGURES_INTERVAL_S:
             executor.figures_at = now
             self._pacer.on_report(executor, now, time.time())
-        self._follow_lives()
+        self._watch_new_incarnations()
         self._changes.notify()
         return True
 
-    async def _known_part(self, report: ExecutorReport, *, first: bool) -> ExecutorReport:
-        """Return what a report says of jobs whose records were read up to it.
+    async def _without_unread_jobs(self, report: ExecutorReport, *, first: bool) -> ExecutorReport:
+        """Return the part of a report on jobs whose records are read up to the report.
 
-        A former owner may have started a job that was accepted just now: taken for
-        unknown, it would be started once more when its record is read. It may also have
-        ended a job and let the executor forget that: what the first report of an
-        executor does not name counts as not run only by records read after it.
+        A former owner may have started a job that was accepted just now. If its run were treated as
+        unknown, the job would be started again when its record is read. A former owner may also
+        have finished a job and acknowledged its ends: a run that an executor's first report omits
+        counts as not started only by job records read after that report.
         """
         unknown = self._core.unknown(report.job_ids)
         if not unknown and not first:
             return report
         if first:
-            read = await self._job_registry.refresh(fresh_s=0.0, limit_s=FIRST_REFRESH_S)
+            read = await self._job_registry.refresh(fresh_s=0.0, limit_s=MAX_FIRST_REFRESH_S)
         else:
             read = await self._job_registry.refresh(fresh_s=0.0)
         if read:
@@ -261,17 +267,17 @@
 
     def _count_ends(self, executor_id: str, report: ExecutorReport) -> None:
         executor = self._core.executors.get(executor_id)
-        seen = executor.last_handled_end if executor else 0
+        last_handled = executor.last_handled_end if executor else 0
         for end in report.ended:
-            if end.number > seen:
+            if end.number > last_handled:
                 self._metrics.count("ends", how=end.kind.value)
 
-    async def _settle(self, executor: ExecutorState) -> None:
-        """Wait until ends are durable, so that the next look does not list them again."""
-        await asyncio.sleep(GATHER_S)
+    async def _wait_for_acknowledgements(self, executor: ExecutorState) -> None:
+        """Wait until ends are durable, so that the next poll does not list them again."""
+        await asyncio.sleep(END_BATCH_S)
         executor.advance_acknowledged(steady())
-        waited = GATHER_S
+        waited = END_BATCH_S
         while executor.unacked and waited < MAX_RETRY_S and not executor.withholds_end(steady()):
-            await asyncio.sleep(GATHER_S / 2)
-            waited += GATHER_S / 2
+            await asyncio.sleep(END_BATCH_S / 2)
+            waited += END_BATCH_S / 2
             executor.advance_acknowledged(steady())
--- a/tests/host/test_figures_of_looks.py
+++ b/tests/host/test_figures_of_looks.py
@@ -13,7 +13,7 @@
 
 from linkspan.shard.colocation.pacing import Pacer
 from linkspan.shard.executor import ExecutorState
-from linkspan.shard.reports._watch import FIGURES_APART_S
+from linkspan.shard.reports._watch import MIN_FIGURES_INTERVAL_S
 from tests.host.restarting_day import Restarts, play
 from tests.standins.memory_executor import ExecutorLink
 from tests.virtual_time import run_virtual
@@ -40,6 +40,6 @@
     assert counted
     for rows in counted.values():
         assert all(
-            wait_s or now - before >= FIGURES_APART_S
+            wait_s or now - before >= MIN_FIGURES_INTERVAL_S
             for (before, _), (now, wait_s) in pairwise(rows)
         )
--- a/tests/host/test_machine_lists.py
+++ b/tests/host/test_machine_lists.py
@@ -103,7 +103,7 @@
         await asyncio.sleep(CRASH_FOUND_S)
         (gone,) = world.log.named("EXECUTOR_GONE")
         assert gone["executor"] == second.incarnation_name
-        assert gone["proof"] == "machine lists it no more"
+        assert gone["proof"] == "machine service no longer lists it"
         return world
 
     assert run_virtual(play()).problems == []
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -33,7 +33,7 @@
     first, second = plan(core, 1.0)
     started(core, first, 1.2)
     core.on_silent("e0", 3.0)
-    core.on_gone("e0", 4.0, "machine lists it no more")
+    core.on_gone("e0", 4.0, "machine service no longer lists it")
     (line,) = lines
     assert line["fell_s"] == 1.0
     assert line["tasks"] == {
@@ -130,7 +130,7 @@
     core.on_silent("e0", 2.0)
     core.on_silent("e1", 2.0)
     for name in ("e0", "e1"):
-        core.on_gone(name, 3.0, "machine lists it no more")
+        core.on_gone(name, 3.0, "machine service no longer lists it")
     assert task.crash_history == CrashHistory(1, 2, version=1)
 
 
--- a/tests/shard/test_lives.py
+++ b/tests/shard/test_lives.py
@@ -32,7 +32,7 @@
     encode_run,
     restore_run,
 )
-from linkspan.shard.reports._watch import ACKNOWLEDGE_WITHIN_S, acknowledges
+from linkspan.shard.reports._watch import MAX_ACKNOWLEDGE_DELAY_S, acknowledgeable_end
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, plan, started, submitted
 
@@ -237,8 +237,8 @@
     former = core.executors[FIRST]
     former.acknowledged = former.last_handled_end = 57
     former.quarantined_until = 1e9
-    core.health.failed(FIRST, "a", 1.0)
-    core.health.failed(FIRST, "b", 1.0)
+    core.health.record_failure(FIRST, "a", 1.0)
+    core.health.record_failure(FIRST, "b", 1.0)
     _restarted(core, clock_s=0.1)
     known = core.executors[SECOND]
     assert (known.acknowledged, known.last_handled_end) == (0, 0)
@@ -254,14 +254,16 @@
     executor.answered_at = at
 
 
-@pytest.mark.parametrize(("later_s", "number"), [(ACKNOWLEDGE_WITHIN_S, 5), (0.201, 0), (9.0, 0)])
+@pytest.mark.parametrize(
+    ("later_s", "number"), [(MAX_ACKNOWLEDGE_DELAY_S, 5), (0.201, 0), (9.0, 0)]
+)
 def test_ends_are_told_to_be_forgotten_shortly_after_an_answer_only(
     later_s: float, number: int
 ) -> None:
     """The window that is left: a next life that ends a run of ours within it loses that end."""
     executor = _core().executors[FIRST]
     _heard(executor, 0.0)
-    assert acknowledges(executor, later_s) == number
+    assert acknowledgeable_end(executor, later_s) == number
 
 
 def test_a_silent_executor_is_asked_first_who_it_is() -> None:
@@ -269,21 +271,21 @@
     executor = core.executors[FIRST]
     _heard(executor, 1.0)
     core.on_silent(FIRST, 1.05)
-    assert acknowledges(executor, 1.1) == 0
+    assert acknowledgeable_end(executor, 1.1) == 0
 
 
 def test_ends_that_were_forgotten_are_not_told_again() -> None:
     executor = _core().executors[FIRST]
     _heard(executor, 1.0)
     executor.ack_delivered = 5
-    assert acknowledges(executor, 1.1) == 0
+    assert acknowledgeable_end(executor, 1.1) == 0
 
 
 # Lives that a machine list proves over
 
 
 def _gone(core: ShardCore, *, since: float, now: float) -> None:
-    core.on_gone(FIRST, now, "machine lists it no more", since=since)
+    core.on_gone(FIRST, now, "machine service no longer lists it", since=since)
 
 
 def test_a_start_on_its_way_waits_for_the_next_life() -> None:
@@ -466,7 +468,7 @@
     heir.add_job(submitted(step(1)), 3.0, inherited=True, begun=True, progress=progress)
     (task,) = heir.jobs[JOB].runs[0].tasks()
     assert len(task.attempts) == 1
-    heir.on_gone("e0", 3.5, "machine lists it no more", since=3.2)
+    heir.on_gone("e0", 3.5, "machine service no longer lists it", since=3.2)
     assert len(task.attempts) == 1, "the start may still be on its way"
     heir.on_gone("e0", 4.0, "another incarnation answers")
     assert not task.attempts
--- a/tests/shard/test_tokens.py
+++ b/tests/shard/test_tokens.py
@@ -45,7 +45,7 @@
     core.tokens.allow(5)
     add_executor(core, FIRST)
     token = core.executors[FIRST].token
-    core.on_gone(FIRST, 1.0, "machine lists it no more", since=0.5)
+    core.on_gone(FIRST, 1.0, "machine service no longer lists it", since=0.5)
     add_executor(core, SECOND)
     assert core.executors[SECOND].token > token
 
