--- a/src/linkspan/shard/recovery/__init__.py
+++ b/src/linkspan/shard/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Records of progress, and how a new owner learns from them what its predecessor left."""
+"""Records of a shard's progress, and how a new owner restores the shard's state from them."""
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -1,4 +1,4 @@
-"""The records of a tenure: progress, ends, beginnings, and their removal."""
+"""Writes and removes the records of a tenure: progress, job starts and final states."""
 
 from __future__ import annotations
 
@@ -20,34 +20,38 @@
     from linkspan.shard._context import TenureContext
     from linkspan.shard.job_run import JobRun
 
-FLUSH_S = 0.06
-"""Time for which changes of progress are gathered into one append."""
+FLUSH_INTERVAL_S = 0.06
+"""Time for which changes of progress are collected into one append."""
 
-START_FLUSH_S = 0.015
-"""Least time between two appends where starts wait: an append takes some 5 ms."""
+MIN_START_FLUSH_INTERVAL_S = 0.015
+"""Minimum time between two appends while starts wait for their record: an append takes some 5
+ms."""
 
 MAX_QUICK_FLUSHES = 10
-"""Appends within a second up to which they may follow each other that soon. The store takes some
-hundreds a second of all halls: busy ones gather starts for as long as other changes."""
+"""Appends within a second that may follow each other after ``MIN_START_FLUSH_INTERVAL_S``. The
+store accepts some hundreds per second from all halls together: busy halls collect starts for as
+long as other changes."""
 
-ANSWERS_S = 0.5
-"""Longest time for which the answer to a start waits to be put on record."""
+MAX_ANSWER_RECORD_DELAY_S = 0.5
+"""Longest time before the answer to a start is recorded."""
 
-BEGUN_S = 1.0
-"""Time for which jobs that began are gathered; counts may be two seconds old."""
+BEGUN_BATCH_S = 1.0
+"""Time for which job starts are collected into one write; published counts may be two seconds
+old."""
 
-PRUNE_S = 15.0
-"""Time between removals of records that are past their time."""
+PRUNE_INTERVAL_S = 15.0
+"""Time between removals of expired records."""
 
 PRUNE_MARGIN_S = 60.0
-"""Time for which finished jobs are kept beyond what callers were promised."""
+"""Time for which finished jobs are kept beyond the time that callers were promised."""
 
 
 def next_flush_at(flushes: deque[float], now: float) -> float:
-    """Return the steady time before which no append is to follow.
+    """Return the steady time before which no further append may be sent.
 
     Args:
-        flushes: Steady times of the last appends, as many as may be quick within a second.
+        flushes: Steady times of the last appends; its maximum length is the number of quick appends
+            allowed within a second.
         now: Steady time.
 
     Example:
@@ -57,14 +61,14 @@
         9.06
     """
     busy = len(flushes) == flushes.maxlen and now - flushes[0] < 1.0
-    return flushes[-1] + (FLUSH_S if busy else START_FLUSH_S)
+    return flushes[-1] + (FLUSH_INTERVAL_S if busy else MIN_START_FLUSH_INTERVAL_S)
 
 
 class RecordWriter:
-    """Writes what the core wants durable and removes what is past its time.
+    """Writes the changes that the core wants durable and removes expired records.
 
     Args:
-        context: What the tenure works with.
+        context: Shared objects of the tenure.
     """
 
     def __init__(self, context: TenureContext) -> None:
@@ -85,54 +89,56 @@
         flushes: deque[float] = deque([NEVER], maxlen=MAX_QUICK_FLUSHES)
         while True:
             await changes.dirty.wait()
-            await self._gather()
+            await self._wait_for_batch()
             await asyncio.sleep(next_flush_at(flushes, steady()) - steady())
             changes.dirty.clear()
             changes.starts.clear()
             await self.flush()
             flushes.append(steady())
 
-    async def _gather(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Wait for more changes, unless a start waits for its record."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(FLUSH_S):
+            async with asyncio.timeout(FLUSH_INTERVAL_S):
                 await self._changes.starts.wait()
 
     async def answers_loop(self) -> None:
-        """Have answers to starts written for as long as the tenure lasts."""
+        """Trigger the writing of answers to starts for as long as the tenure lasts."""
         while True:
-            await asyncio.sleep(ANSWERS_S)
+            await asyncio.sleep(MAX_ANSWER_RECORD_DELAY_S)
             if self._core.dirty:
                 self._changes.dirty.set()
 
     async def flush(self) -> None:
-        """Write the progress and the roster that changed since the last time.
+        """Write the progress and the roster that changed since the last flush.
 
         Raises:
-            Fenced, ProducerFenced, ProducerGap: Another owner writes.
+            Fenced, ProducerFenced, ProducerGap: Another owner writes to the partition.
         """
         core = self._core
         runs = list(core.dirty.values())
         core.dirty.clear()
         core.write_urgent = False
         dropped, core.dropped = core.dropped, []
-        # A job whose final state is on its way is dropped once that is durable.
+        # Progress of a job whose final state is being written is dropped once that state is
+        # durable.
         runs = [run for run in runs if not run.job.closing]
         versions = [run.version for run in runs]
-        # First, since a job that moved away may have come back with loans meanwhile.
+        # Tombstones come first: a job that moved away may have returned with delegated tasks since,
+        # and its new record must follow them.
         records = [Record(b"", key) for key in dropped]
         records += [Record(encode_run(run), key_of(run)) for run in runs]
-        roster, holds = frozenset(core.executors), core.withheld_count
+        roster, withheld_count = frozenset(core.executors), core.withheld_count
         if self._changes.roster_changed():
-            listed = encode_roster(e.on_roster for e in core.executors.values())
-            records.append(Record(listed, ROSTER_KEY))
+            roster_value = encode_roster(e.on_roster for e in core.executors.values())
+            records.append(Record(roster_value, ROSTER_KEY))
         if not records:
             return
         await self._writer.write(records)
         self._changes.roster = roster
-        self._changes.withheld_count = holds
+        self._changes.withheld_count = withheld_count
         if self._core.suspects:
-            # They wait until their crashes are on record.
+            # Tasks with a crash history wait until their crashes are recorded.
             self._changes.wake.set()
         self._mark_durable(runs, versions, roster)
         self._changes.stored()
@@ -149,7 +155,7 @@
                 self._changes.wake.set()
 
     async def finish_loop(self) -> None:
-        """Write the final records of jobs that were decided."""
+        """Write the final records of finished jobs."""
         while True:
             await self._changes.finish.wait()
             self._changes.finish.clear()
@@ -157,18 +163,18 @@
             for finished in decided:
                 self._scope.spawn(self._record_finish(finished))
 
-    async def _record_holds(self) -> None:
-        """Wait until the roster tells of all ends that are held by now.
+    async def _wait_for_withheld_ends(self) -> None:
+        """Wait until the roster records all ends that are withheld now.
 
-        Once a job is over, nothing else keeps a next owner from having them forgotten.
+        Once a job is finished, nothing else keeps a next owner from acknowledging these ends.
         """
-        holds = self._core.withheld_count
-        while self._changes.withheld_count < holds:
+        withheld_count = self._core.withheld_count
+        while self._changes.withheld_count < withheld_count:
             self._changes.dirty.set()
             await self._changes.next_stored()
 
     async def _record_finish(self, finished: Finished) -> None:
-        await self._record_holds()
+        await self._wait_for_withheld_ends()
         entry = self._job_registry.catalog.get(finished.job_id)
         records: list[JobRecord] = [
             Finished(finished.job_id, finished.state, finished.shard, time.time(), finished.queue)
@@ -187,9 +193,9 @@
         self._changes.notify()
 
     async def begun_loop(self) -> None:
-        """Write which jobs began."""
+        """Record which jobs have started."""
         while True:
-            await asyncio.sleep(BEGUN_S)
+            await asyncio.sleep(BEGUN_BATCH_S)
             begun, self._core.begun = self._core.begun, []
             records = [
                 Begun(job_id)
@@ -200,25 +206,25 @@
                 await self._job_registry.write(records)
 
     async def prune_loop(self) -> None:
-        """Remove the final records that are past their time."""
+        """Remove the final records that have expired."""
         while True:
-            await asyncio.sleep(PRUNE_S)
+            await asyncio.sleep(PRUNE_INTERVAL_S)
             limit = time.time() - self._settings.bounds.state_kept_s - PRUNE_MARGIN_S
-            old = [
+            expired = [
                 record
                 for job_id, entry in self._job_registry.catalog.of_shard(self._shard)
                 if entry.finished and entry.finished.at < limit
-                for record in _last_records(job_id, entry)
+                for record in _removal_records(job_id, entry)
             ]
-            if old:
-                await self._job_registry.write(old)
+            if expired:
+                await self._job_registry.write(expired)
 
 
-def _last_records(job_id: str, entry: JobEntry) -> list[JobRecord]:
-    """Return what removes a finished job whole.
+def _removal_records(job_id: str, entry: JobEntry) -> list[JobRecord]:
+    """Return the tombstones that remove a finished job completely.
 
-    A caller that sent the job again may have left a submission behind its end: without
-    the end it would count as a new job.
+    A caller that sent the job again may have left a submission recorded after its final state.
+    Without the final state, that submission would count as a new job, so it is removed first.
     """
     submissions = [Tombstone("s", job_id, host) for host in entry.hosts]
     return [*submissions, Tombstone("f", job_id)]
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -1,4 +1,4 @@
-"""How a tenure learns what its predecessor left."""
+"""Restores the state of a shard that a former owner left in the store."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     """Rebuilds the state of a shard from the store.
 
     Args:
-        context: What the tenure works with.
-        feed: Takes in jobs.
-        handovers: Finishes moves.
-        watch: Looks at executors.
-        former_offline_s: Time for which former owners may act after our claim, in seconds.
+        context: Shared objects of the tenure.
+        feed: Adds jobs to the shard.
+        handovers: Finishes moves of jobs to other shards.
+        watch: Polls executors.
+        former_offline_s: Time after the claim for which former owners may still act, in seconds.
     """
 
     def __init__(
@@ -72,28 +72,28 @@
 
     @property
     def done(self) -> bool:
-        """Whether the state is complete."""
+        """Whether the shard's state is complete."""
         return self._done
 
     async def recover(self) -> None:
-        """Fence the former owner off and take over its work.
+        """Fence off the former owner and take over its work.
 
         Raises:
-            Fenced, ProducerFenced, ProducerGap: A newer owner writes already.
+            Fenced, ProducerFenced, ProducerGap: A newer owner already writes to the partition.
         """
-        await self._until_stored(self._fence_former)
+        await self._retry_until_answered(self._fence_former)
         records = await self._read_progress()
-        await self._until_stored(self._executor_registry.follower.sync)
-        # Last, so that nothing is taken in on an older view of the jobs.
-        await self._until_stored(self._job_registry.follower.sync)
+        await self._retry_until_answered(self._executor_registry.follower.sync)
+        # Synchronized last, so that no job is added from an outdated view of the jobs.
+        await self._retry_until_answered(self._job_registry.follower.sync)
         now = steady()
         core = self._core
         if self._configuration.current:
             core.configure(self._configuration.current)
-        lapse = inherited_lease_expiry(
+        leases_expire_at = inherited_lease_expiry(
             self._proof.claimed_at, self._former_offline_s, self._settings.bounds.max_lease_s
         )
-        self._inherit(records.pop(ROSTER_KEY, b""), lapse)
+        self._inherit_executors(records.pop(ROSTER_KEY, b""), leases_expire_at)
         self._add_jobs(records, now)
         core.list_executors(self._executor_registry.executors(self._hall), now)
         self._done = True
@@ -106,45 +106,48 @@
             took_s=round(now - self._proof.claimed_at, 3),
             roster=len(core.awaiting_report_ids),
             former_acts_s=round(self._former_offline_s, 2),
-            leases_end_s=round(lapse - now, 2),
+            leases_end_s=round(leases_expire_at - now, 2),
             **core.describe(),
         )
         self._watch.watch_all()
         self._changes.notify()
 
     async def _read_progress(self) -> dict[bytes, bytes]:
-        """Return the records of the shard; pages that came are kept over failures."""
-        listing = KeyedSnapshot(self._store, self._partition)
+        """Return the shard's progress records; pages already read are kept across failures."""
+        snapshot = KeyedSnapshot(self._store, self._partition)
         while True:
             try:
-                await self._until_stored(listing.read)
+                await self._retry_until_answered(snapshot.read)
             except LogGap:
-                # What was written meanwhile, by this tenure's fence, is gone already.
-                listing = KeyedSnapshot(self._store, self._partition)
+                # Records written since the first page, such as this tenure's fence, have left the
+                # log.
+                snapshot = KeyedSnapshot(self._store, self._partition)
                 await asyncio.sleep(RETRY_S)
                 continue
-            newest = {entry.key: entry.value for entry in listing.entries}
+            newest = {entry.key: entry.value for entry in snapshot.entries}
             return {key: value for key, value in newest.items() if value}
 
     async def _fence_former(self) -> None:
         await self._writer.write([])
 
-    async def _until_stored(self, call: Callable[[], Coroutine[None, None, T]]) -> T:
+    async def _retry_until_answered(self, call: Callable[[], Coroutine[None, None, T]]) -> T:
         while True:
             try:
                 return await call()
             except (StoreRefused, StoreUnanswered):
                 await asyncio.sleep(RETRY_S)
 
-    def _inherit(self, roster: bytes, lapse: float) -> None:
-        """Take over the executors of a roster, or the registered ones if it is not readable."""
+    def _inherit_executors(self, roster: bytes, leases_expire_at: float) -> None:
+        """Take over the executors of a roster, or the registered ones if it is unreadable."""
         core = self._core
         try:
-            core.inherit(decode_roster(roster) if roster else (), lapse)
+            core.inherit(decode_roster(roster) if roster else (), leases_expire_at)
             self._changes.roster = frozenset(core.executors)
         except RecordError as error:
             self._log.write(Event.RECORD_SKIPPED, partition="progress", error=str(error))
-            core.inherit(self._executor_registry.executors(self._hall), lapse, read=False)
+            core.inherit(
+                self._executor_registry.executors(self._hall), leases_expire_at, read=False
+            )
 
     def _add_jobs(self, records: dict[bytes, bytes], now: float) -> None:
         progress: dict[str, dict[int, bytes]] = {}
@@ -159,20 +162,20 @@
             runs = progress.pop(job_id, {})
             if entry.finished:
                 self._core.drop_progress(job_id, runs)
-            elif self._is_moved(job_id, entry, runs):
+            elif self._finish_move(job_id, entry, runs):
                 if entry.open_delegations(self._shard):
-                    # Lent back since: the record of the move is older than the loan.
+                    # Tasks were delegated to this shard since: the record of the move is older.
                     self._feed.add_job(job_id, entry, now, inherited=True)
             else:
                 self._feed.add_job(job_id, entry, now, inherited=True, progress=runs)
-                self._tell_again(job_id, entry)
+                self._republish_delegations(job_id, entry)
         for job_id, runs in progress.items():
-            # Of a job that is not known here another version may know: it stays on record.
+            # The records of an unknown job are kept: hosts of another version may know the job.
             if self._job_registry.catalog.get(job_id):
                 self._core.drop_progress(job_id, runs)
 
-    def _is_moved(self, job_id: str, entry: JobEntry, runs: dict[int, bytes]) -> bool:
-        """Finish a move that a former owner began."""
+    def _finish_move(self, job_id: str, entry: JobEntry, runs: dict[int, bytes]) -> bool:
+        """Finish a move that a former owner began, and return whether the job was moved away."""
         try:
             shard = moved_to(runs.get(0, b""))
         except RecordError as error:
@@ -181,26 +184,26 @@
         if shard is None:
             return False
         if entry.shard == self._shard:
-            # Until all hosts are told, news of the job must not bring it back here.
+            # Until all hosts know of the move, updates of the job must not add it here again.
             self._core.remove_moved(job_id)
             self._scope.spawn(self._handovers.tell_moved(job_id, shard))
         else:
             self._core.drop_progress(job_id, runs)
         return True
 
-    def _tell_again(self, job_id: str, entry: JobEntry) -> None:
-        """Tell of loans and returns that a former owner may not have told."""
+    def _republish_delegations(self, job_id: str, entry: JobEntry) -> None:
+        """Publish delegations and returns that a former owner may not have published."""
         if entry.shard != self._shard:
-            given = {
+            returned = {
                 delegation
                 for delegations in self._core.delegations(job_id).values()
                 for delegation in delegations
             }
-            untold = given & set(entry.open_delegations(self._shard))
-            if untold:
-                before = entry.returned_delegations.get(self._shard, ())
+            unpublished = returned & set(entry.open_delegations(self._shard))
+            if unpublished:
+                published = entry.returned_delegations.get(self._shard, ())
                 self._job_registry.write(
-                    [Returned(job_id, self._shard, (*before, *sorted(untold)))]
+                    [Returned(job_id, self._shard, (*published, *sorted(unpublished)))]
                 )
             return
         self._feed.reclaim_tasks(job_id, entry, steady())
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -1,7 +1,7 @@
-"""A task's row in the record of its repetition.
+"""Encodes a task as a row of its repetition's progress record, and restores it from the row.
 
-Rows grow behind: what earlier versions know stands first, and they pass over the rest. Fields
-that hold nothing are left out at the end, so that the rows of nearly all tasks are short.
+New fields are appended to rows, and earlier versions ignore what follows the fields they know.
+Empty fields at the end are omitted, which keeps the rows of nearly all tasks short.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
     from linkspan.shard.step_run import StepRun
     from linkspan.shard.task import Task
 
-EMPTY: tuple[Any, ...] = (0, 0, [], [], 0, 0, [])
-"""What fields behind the first of a started task hold where there is nothing to tell."""
+EMPTY_FIELDS: tuple[Any, ...] = (0, 0, [], [], 0, 0, [])
+"""Empty values of the optional fields in the row of a started task."""
 
-EMPTY_DELEGATED: tuple[Any, ...] = (0, 0, [], 0, [])
-"""The same for a task that another shard looks after."""
+EMPTY_DELEGATED_FIELDS: tuple[Any, ...] = (0, 0, [], 0, [])
+"""Empty values of the optional fields in the row of a task that another shard manages."""
 
 
 def step_rows(step: StepRun) -> list[Any]:
-    """Return what a record holds of a step, a row a task.
+    """Return the rows of a step's tasks, one row per task.
 
-    A gang's members share the numbers of its runs. Earlier versions add up how many failed, so one
-    that several members name is counted at the first of them.
+    Members of a gang share the run numbers. Earlier versions add up the failure counts of all
+    members, so a failed run that several members list is counted only at the first of them.
     """
     if not step.spec.gang:
         return [_task_row(task, task.failures) for task in step.tasks]
@@ -45,17 +45,17 @@
 
 
 def _task_row(task: Task, failures: int) -> Any:
-    """Return what a record holds of a task.
+    """Return the row of a task.
 
     Args:
         task: The task.
-        failures: How many of its failed runs are counted here.
+        failures: How many of its failed runs are counted in this row.
     """
     if task.done:
         return 1
     if task.managed_by is not None:
-        return _lent_row(task)
-    attempts = [[a.run, *_place_fields(a)] for a in task.attempts]
+        return _delegated_row(task)
+    attempts = [[a.run, *_attempt_fields(a)] for a in task.attempts]
     if not attempts and task.next_run == 1 and not task.failures and not task.delegation_number:
         return 0
     first = [task.next_run, failures, task.checkpoint, attempts, task.delegation_number]
@@ -63,16 +63,16 @@
         [failed.run, *incarnation_fields(failed.incarnation)]
         for failed in sorted(task.failed.identified_runs)
     ]
-    crashes, points, named, put_off = _crash_fields(task.crash_history)
+    crashes, score, identified, deferred = _crash_fields(task.crash_history)
     saved_by = task.saved_by if task.checkpoint else 0
-    more = crashes, points, failed, named, put_off, saved_by, _limit_fields(task)
-    return [*first, *_without_last(EMPTY, *more)]
+    more = crashes, score, failed, identified, deferred, saved_by, _limit_fields(task)
+    return [*first, *_without_empty_tail(EMPTY_FIELDS, *more)]
 
 
 def _limit_fields(task: Task) -> list[int]:
-    """Return the limit that failed runs of a task were counted against, and its version, if known.
+    """Return the attempt limit that failures were counted against, and its version, if known.
 
-    Where the queue is gone, no configuration tells a next owner.
+    If the queue was deleted, a next owner finds this limit in no configuration.
     """
     job = task.step.run.job
     if not task.failures or job.max_attempts is None:
@@ -80,17 +80,20 @@
     return [job.max_attempts, *([] if job.limit_version is None else [job.limit_version])]
 
 
-def _lent_row(task: Task) -> list[Any]:
+def _delegated_row(task: Task) -> list[Any]:
     first = [-1 - (task.managed_by or 0), task.delegation_number, task.next_run]
-    excused = [incarnation_fields(incarnation) for incarnation in sorted(task.retracted_crashes)]
-    return [*first, *_without_last(EMPTY_DELEGATED, *_crash_fields(task.crash_history), excused)]
+    retracted = [incarnation_fields(incarnation) for incarnation in sorted(task.retracted_crashes)]
+    return [
+        *first,
+        *_without_empty_tail(EMPTY_DELEGATED_FIELDS, *_crash_fields(task.crash_history), retracted),
+    ]
 
 
-def _without_last(empty: tuple[Any, ...], *fields: Any) -> list[Any]:
-    """Return fields but for those at the end that hold nothing.
+def _without_empty_tail(empty: tuple[Any, ...], *fields: Any) -> list[Any]:
+    """Return the fields without the empty ones at the end.
 
     Example:
-        >>> _without_last((0, [], 0), 7, [], 0)
+        >>> _without_empty_tail((0, [], 0), 7, [], 0)
         [7]
     """
     kept = list(fields)
@@ -99,63 +102,67 @@
     return kept
 
 
-def _crash_fields(known: CrashHistory | None) -> tuple[int, int, list[Any], int]:
-    """Return what a record holds of crashes under a task, and of a verdict by them."""
-    if known is None:
+def _crash_fields(history: CrashHistory | None) -> tuple[int, int, list[Any], int]:
+    """Return the fields on a task's crashes and on whether giving it up was deferred."""
+    if history is None:
         return 0, 0, [], 0
-    named = [
+    identified = [
         [c.run, c.score, c.certainty, *incarnation_fields(c.incarnation)]
-        for c in known.identified_crashes
+        for c in history.identified_crashes
     ]
-    return known.crash_count, known.crash_score, named, int(known.give_up_deferred)
+    return history.crash_count, history.crash_score, identified, int(history.give_up_deferred)
 
 
 def restore_task(task: Task, row: Any, now: float) -> None:
-    """Fill a new task from its row.
+    """Restore a new task from its row.
 
     Raises:
-        TypeError, ValueError, IndexError: The row is none of a task.
+        TypeError, ValueError, IndexError: The row is not a valid task row.
     """
     if row == 0:
         return
     if row == 1:
         task.done = True
         return
-    # Later versions may tell more behind it.
+    # Later versions may append fields to the row.
     if parse_int(parse_list(row)[0], minimum=-MAX_EXACT_INT) < 0:
-        _restore_lent(task, row)
+        _restore_delegated(task, row)
         return
     next_run, failures, checkpoint, attempts, delegation, *more = row
-    crashes, points, failed, named, put_off, saved_by, limit = _padded(EMPTY, more)
+    crashes, score, failed, identified, deferred, saved_by, limit = _padded(EMPTY_FIELDS, more)
     if limit:
-        most, *version = parse_list(limit)
-        task.step.run.job.take_limit(parse_int(most), parse_int(version[0]) if version else None)
-    task.crash_history = _suspicion(crashes, points, named, put_off)
+        max_attempts, *version = parse_list(limit)
+        task.step.run.job.take_limit(
+            parse_int(max_attempts), parse_int(version[0]) if version else None
+        )
+    task.crash_history = _restore_crash_history(crashes, score, identified, deferred)
     task.next_run = parse_int(next_run, minimum=1)
     task.checkpoint, task.saved_by, task.delegation_number = (
         parse_text(checkpoint),
         parse_int(saved_by),
         parse_int(delegation),
     )
-    task.attempts += [_attempt(task, parse_list(fields), now) for fields in parse_list(attempts)]
-    # What may be running had not failed by then.
+    task.attempts += [
+        _restore_attempt(task, parse_list(fields), now) for fields in parse_list(attempts)
+    ]
+    # Runs that may still be running had not failed when the record was written.
     below = min([task.next_run, *(attempt.run for attempt in task.attempts)])
-    task.failed = _failures(parse_int(failures), parse_list(failed), below)
+    task.failed = _restore_failures(parse_int(failures), parse_list(failed), below)
 
 
-def _restore_lent(task: Task, row: list[Any]) -> None:
+def _restore_delegated(task: Task, row: list[Any]) -> None:
     first, delegation, next_run, *more = row
     task.managed_by = -1 - first
     task.delegation_number, task.next_run = parse_int(delegation), parse_int(next_run, minimum=1)
-    *crashes, excused = _padded(EMPTY_DELEGATED, more)
-    task.crash_history = _suspicion(*crashes)
+    *crashes, retracted = _padded(EMPTY_DELEGATED_FIELDS, more)
+    task.crash_history = _restore_crash_history(*crashes)
     task.retracted_crashes = {
-        incarnation_name(parse_list(incarnation)) for incarnation in parse_list(excused)
+        incarnation_name(parse_list(incarnation)) for incarnation in parse_list(retracted)
     }
 
 
 def _padded(empty: tuple[Any, ...], fields: list[Any]) -> list[Any]:
-    """Return fields with those at the end that were left out.
+    """Return the fields with the omitted empty ones appended.
 
     Example:
         >>> _padded((0, [], 0), [7])
@@ -164,44 +171,46 @@
     return [*fields, *empty[len(fields) :]][: len(empty)]
 
 
-def _suspicion(crashes: Any, points: Any, named: Any, put_off: Any) -> CrashHistory | None:
-    """Return what a record says against a task; records of earlier versions name no crash."""
-    if not (parse_int(crashes) and parse_int(points)):
+def _restore_crash_history(
+    crashes: Any, score: Any, identified: Any, deferred: Any
+) -> CrashHistory | None:
+    """Return a task's recorded crash history; earlier versions did not record single crashes."""
+    if not (parse_int(crashes) and parse_int(score)):
         return None
-    names = tuple(
-        Crash(incarnation_name(incarnation), parse_int(run), parse_int(counts)).with_certainty(
-            parse_int(known)
+    identified_crashes = tuple(
+        Crash(incarnation_name(incarnation), parse_int(run), parse_int(crash_score)).with_certainty(
+            parse_int(certainty)
         )
-        for run, counts, known, *incarnation in map(parse_list, parse_list(named))
+        for run, crash_score, certainty, *incarnation in map(parse_list, parse_list(identified))
     )
     return CrashHistory(
         parse_int(crashes),
-        parse_int(points),
-        identified_crashes=names,
-        give_up_deferred=parse_int(put_off) > 0,
+        parse_int(score),
+        identified_crashes=identified_crashes,
+        give_up_deferred=parse_int(deferred) > 0,
     )
 
 
-def _failures(count: int, named: list[Any], below: int) -> Failures:
-    """Return the failed runs of a record.
+def _restore_failures(count: int, identified: list[Any], below: int) -> Failures:
+    """Return the failed runs of a task's row.
 
     Args:
-        count: How many there are.
-        named: Their names, if it tells any: records of earlier versions do not.
-        below: Number that is above those of all runs that it counts.
+        count: Number of failed runs.
+        identified: Run and incarnation of each; absent in records of earlier versions.
+        below: Number above those of all counted runs.
     """
-    names = frozenset(
-        FailedRun(parse_int(number), incarnation_name(incarnation))
-        for number, *incarnation in map(parse_list, named)
+    identified_runs = frozenset(
+        FailedRun(parse_int(run), incarnation_name(incarnation))
+        for run, *incarnation in map(parse_list, identified)
     )
-    return Failures(names, max(count - len(names), 0), below)
+    return Failures(identified_runs, max(count - len(identified_runs), 0), below)
 
 
-def _attempt(task: Task, fields: list[Any], now: float) -> Attempt:
-    """Return an attempt of a record, which a start may be on its way for."""
-    number, *place = fields
+def _restore_attempt(task: Task, fields: list[Any], now: float) -> Attempt:
+    """Return a recorded attempt, for which a start may still arrive."""
+    run, *place = fields
     attempt = Attempt(
-        task, parse_int(number), incarnation_name(place), Phase.INHERITED, now, recovered=True
+        task, parse_int(run), incarnation_name(place), Phase.INHERITED, now, recovered=True
     )
     if len(place) > 2:
         attempt.starts = parse_int(place[2], minimum=1)
@@ -210,21 +219,26 @@
     return attempt
 
 
-def _place_fields(attempt: Attempt) -> list[str | int | None]:
-    """Return what a record holds of where an attempt is, and of its starts on their way.
+def _attempt_fields(attempt: Attempt) -> list[str | int | None]:
+    """Return the fields on an attempt's executor and on its starts that may still arrive.
 
-    Of these it tells whether the run came over from a life before.
-    These stand behind the birth, where earlier versions do not look.
+    With such starts, the fields also say whether the run was carried over from an earlier
+    incarnation. These fields follow the start time, where earlier versions do not read.
     """
     if not attempt.recorded_starts:
         return [*incarnation_fields(attempt.executor_id)]
     incarnation = Incarnation.of(attempt.executor_id)
-    carried = [1] if attempt.carried_over else []
-    return [incarnation.executor_id, incarnation.started_at_ms, attempt.recorded_starts, *carried]
+    carried_over = [1] if attempt.carried_over else []
+    return [
+        incarnation.executor_id,
+        incarnation.started_at_ms,
+        attempt.recorded_starts,
+        *carried_over,
+    ]
 
 
 def incarnation_fields(name: str) -> list[str | int]:
-    """Return what a record holds of a life: its id, where earlier versions read one, and birth."""
+    """Return the fields of an incarnation: its id, which earlier versions read, and start time."""
     incarnation = Incarnation.of(name)
     return (
         [incarnation.executor_id]
@@ -234,7 +248,7 @@
 
 
 def incarnation_name(fields: list[Any]) -> str:
-    """Return the name of a life that a record holds; one without a birth is some life of its id."""
+    """Return the incarnation that fields name; without start time, any incarnation of the id."""
     executor_id, *started_at_ms = fields
     return Incarnation(
         parse_text(executor_id), parse_started_at_ms(started_at_ms[0]) if started_at_ms else None
--- a/src/linkspan/shard/recovery/progress.py
+++ b/src/linkspan/shard/recovery/progress.py
@@ -1,4 +1,4 @@
-"""Records of a job's progress, one a repetition, written by the shard's owner."""
+"""Encodes and decodes progress records, one per repetition of a job, and the executor roster."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 class RunKey(NamedTuple):
-    """Key of a repetition's record."""
+    """Key of a repetition's progress record."""
 
     job_id: str
     repetition: int
 
     def encode(self) -> bytes:
-        """Return the key's bytes."""
+        """Return the key as bytes."""
         return f"{self.job_id}.{self.repetition}".encode()
 
 
 def key_of(run: JobRun) -> bytes:
-    """Return the key of a repetition's record."""
+    """Return the key of a repetition's progress record."""
     return RunKey(run.job.job_id, run.repetition).encode()
 
 
@@ -47,45 +47,45 @@
     """Return the repetition that a key names.
 
     Raises:
-        RecordError: It names none.
+        RecordError: The key names no repetition.
     """
     job_id, _, repetition = key.decode(errors="replace").rpartition(".")
     if not job_id or not (repetition.isascii() and repetition.isdecimal()):
-        raise RecordError(f"progress key {key!r}; it is passed over")
+        raise RecordError(f"invalid progress key {key!r}; record ignored")
     return RunKey(job_id, int(repetition))
 
 
 def encode_run(run: JobRun) -> bytes:
-    """Return a repetition's progress; an untouched task takes two bytes."""
+    """Return a repetition's progress record; an untouched task takes two bytes."""
     return orjson.dumps([step_rows(step) for step in run.steps])
 
 
 def encode_moved(shard: int) -> bytes:
-    """Return the record of a job that is on its way to another shard."""
+    """Return the record of a job that is being moved to another shard."""
     return orjson.dumps({"moved": shard})
 
 
 def moved_to(value: bytes) -> int | None:
-    """Return the shard that a record says its job was moved to, if it does.
+    """Return the shard that a job was moved to, or ``None`` if the record is not of a move.
 
     Raises:
-        RecordError: The bytes tell of a move, but not where to.
+        RecordError: The record is of a move, but names no valid shard.
     """
     if not value.startswith(b"{"):
         return None
     try:
         return parse_int(orjson.loads(value)["moved"])
     except (ValueError, TypeError, KeyError) as error:
-        raise RecordError(f"progress record {value!r:.60}: {error!r}") from error
+        raise RecordError(f"invalid progress record {value!r:.60}: {error!r}") from error
 
 
 def restore_run(run: JobRun, value: bytes, now: float) -> None:
-    """Fill a new repetition from its record.
+    """Restore a new repetition from its progress record.
 
-    Attempts are restored as inherited: only their executor can tell of them.
+    Attempts are restored as inherited: only their executor knows their state.
 
     Raises:
-        RecordError: The bytes are no progress of this job.
+        RecordError: The bytes are not a progress record of this job.
     """
     try:
         for step, listed in zip(run.steps, parse_list(orjson.loads(value)), strict=True):
@@ -93,7 +93,7 @@
                 restore_task(task, row, now)
             step.remaining_tasks = sum(not task.done for task in step.tasks)
     except (ValueError, TypeError, IndexError) as error:
-        raise RecordError(f"progress of {run.job.job_id}: {error!r}") from error
+        raise RecordError(f"invalid progress of job {run.job.job_id}: {error!r}") from error
 
 
 def encode_roster(executors: Iterable[ExecutorRecord]) -> bytes:
@@ -108,19 +108,19 @@
                 [e.capacity.milli_cpu, e.capacity.memory_mb, e.capacity.gpus],
                 sorted(e.labels),
                 e.rack,
-                *_life_on_roster(e),
+                *_incarnation_on_roster(e),
             ]
             for e in executors
         ]
     )
 
 
-def _life_on_roster(executor: ExecutorRecord) -> list[Any]:
-    """Return what a roster holds of a life: its birth, and its ends that are held, if any."""
+def _incarnation_on_roster(executor: ExecutorRecord) -> list[Any]:
+    """Return an incarnation's roster fields: its start time and its withheld ends, if any."""
     if executor.is_placeholder:
         return [None]
     started_at_ms = incarnation_fields(executor.executor_id)[1:]
-    # Where it tells no birth, no next life gets its orders.
+    # Without a start time, no next incarnation receives orders for this one.
     return (
         [*started_at_ms, executor.withheld_ends]
         if started_at_ms and executor.withheld_ends
@@ -132,18 +132,18 @@
     """Return the executors of a roster record.
 
     Raises:
-        RecordError: The bytes are no roster.
+        RecordError: The bytes are not a valid roster.
     """
     try:
-        return tuple(_executor(parse_list(row)) for row in parse_list(orjson.loads(value)))
+        return tuple(_executor_record(parse_list(row)) for row in parse_list(orjson.loads(value)))
     except (ValueError, TypeError) as error:
         raise RecordError(f"roster: {error!r}") from error
 
 
-def _executor(row: list[Any]) -> ExecutorRecord:
-    # Later versions may tell more behind it.
-    name, service, address, hall, room, labels, rack, *incarnation = row
-    milli_cpu, memory_mb, gpus, *_ = (parse_int(size) for size in parse_list(room))
+def _executor_record(row: list[Any]) -> ExecutorRecord:
+    # Later versions may append fields to the row.
+    name, service, address, hall, capacity, labels, rack, *incarnation = row
+    milli_cpu, memory_mb, gpus, *_ = (parse_int(amount) for amount in parse_list(capacity))
     return ExecutorRecord(
         incarnation_name([name, *incarnation]),
         parse_text(service),
