--- a/src/linkspan/shard/ownership/__init__.py
+++ b/src/linkspan/shard/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns a shard, and how long a tenure may act on it."""
+"""Ownership of a shard, and how long a tenure may act on it."""
--- a/src/linkspan/shard/ownership/_proof.py
+++ b/src/linkspan/shard/ownership/_proof.py
@@ -1,4 +1,4 @@
-"""Whether a tenure may still act: how fresh the proof of its ownership is."""
+"""Tracks when a tenure last proved its ownership, and thereby whether it may still act."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from linkspan.clock import steady
 from linkspan.errors import LinkspanError
 from linkspan.events import Event
-from linkspan.shard.ownership.ownership import OFFLINE_S, SILENCE_S
+from linkspan.shard.ownership.ownership import OFFLINE_S, OWNER_SILENCE_S
 
 if TYPE_CHECKING:
     from linkspan.events import EventLog
 
-FREEZE_TICK_S = 0.05
-"""Time between looks at the clock that find a stand-still of this process."""
+FREEZE_CHECK_INTERVAL_S = 0.05
+"""Time between checks of the clock that detect a freeze of this process."""
 
 
 class TenureLost(LinkspanError):
-    """The shard has another owner; this tenure ends."""
+    """The tenure ends: another host owns the shard, or ownership could not be proved in time."""
 
 
 class OwnershipProof:
-    """Tells whether another owner is ruled out.
+    """Determines whether any other owner of the shard can be ruled out.
 
     Args:
         shard: Number of the shard.
-        claimed_at: Steady time before which the claim was not done.
-        freeze_s: Stand-still of this process after which ownership must be proved anew.
-        log: Where events go.
+        claimed_at: Steady time before which the claim had not taken effect.
+        freeze_s: Duration of a freeze after which ownership must be proved again, in seconds.
+        log: Event log.
     """
 
     def __init__(self, shard: int, claimed_at: float, *, freeze_s: float, log: EventLog) -> None:
@@ -37,8 +37,8 @@
         self._log = log
         self._claimed_at = claimed_at
         self._proved_at = self._claimed_at
-        self._must_prove_since = float("-inf")
-        self._watched_at: float | None = None
+        self._proof_required_since = float("-inf")
+        self._last_check_at: float | None = None
         self._stopping = False
 
     def __repr__(self) -> str:
@@ -52,57 +52,60 @@
     @property
     def sole_owner_until(self) -> float:
         """Steady time until which no other host can have claimed the shard since the last proof."""
-        return self._proved_at + SILENCE_S
+        return self._proved_at + OWNER_SILENCE_S
 
     def proved(self, at: float) -> None:
-        """Take in that the store had no other owner at a steady time."""
+        """Record that the store had no other owner at a steady time."""
         self._proved_at = max(self._proved_at, at)
 
     def stop(self) -> None:
-        """Allow no orders any more."""
+        """Stop all further orders."""
         self._stopping = True
 
     def may_act(self, now: float) -> bool:
-        """Whether orders may go out.
+        """Whether orders may be sent.
 
-        After a stand-still another owner may be at work: it must be ruled out first.
+        After a freeze another owner may be active, so ownership must be proved again first.
         """
-        self._find_stand_still(now)
-        if self._stopping or self._proved_at < self._must_prove_since:
+        self._detect_freeze(now)
+        if self._stopping or self._proved_at < self._proof_required_since:
             return False
         return now - self._proved_at < OFFLINE_S
 
     def check(self, now: float) -> None:
-        """End the tenure if its ownership was not proved for long.
+        """Check that the tenure's ownership was proved recently enough.
 
         Raises:
-            TenureLost: Nothing may be done, and the last proof is too old.
+            TenureLost: Orders are not allowed, and the last proof is too old.
         """
         if not self.may_act(now) and now - self._proved_at >= 2 * OFFLINE_S:
-            raise TenureLost("ownership was not proved for too long")
+            raise TenureLost("ownership could not be proved in time")
 
     async def watch_freeze(self) -> None:
-        """Find out that this process stood still: another may own the shard since."""
-        self._watched_at = steady()
+        """Detect freezes of this process, during which another host may have claimed the shard."""
+        self._last_check_at = steady()
         while True:
-            await asyncio.sleep(FREEZE_TICK_S)
+            await asyncio.sleep(FREEZE_CHECK_INTERVAL_S)
             now = steady()
-            self._find_stand_still(now)
-            self._watched_at = now
+            self._detect_freeze(now)
+            self._last_check_at = now
 
-    def _find_stand_still(self, now: float) -> None:
-        """Compare the clock with the last look at it.
+    def _detect_freeze(self, now: float) -> None:
+        """Compare the clock with the previous check of it.
 
-        Whoever is to act asks, too: after a suspension the timer of the watch is due only when
-        the rest of its time has passed, and orders would go out before.
+        Called before each order, too: after a suspension, the timer of ``watch_freeze`` fires only
+        when the rest of its delay has passed, and orders would be sent before that.
         """
-        if self._watched_at is None or now - self._watched_at <= self._freeze_s + FREEZE_TICK_S:
+        if (
+            self._last_check_at is None
+            or now - self._last_check_at <= self._freeze_s + FREEZE_CHECK_INTERVAL_S
+        ):
             return
-        self._must_prove_since = now
+        self._proof_required_since = now
         self._log.write(
             Event.OWNER_SILENT,
             shard=self._shard,
             owner="this host",
-            stood_still_s=round(now - self._watched_at, 2),
+            stood_still_s=round(now - self._last_check_at, 2),
         )
-        self._watched_at = now
+        self._last_check_at = now
--- a/src/linkspan/shard/ownership/_scope.py
+++ b/src/linkspan/shard/ownership/_scope.py
@@ -1,4 +1,4 @@
-"""The tasks of a tenure: started while it lasts, ended with it."""
+"""Runs the background tasks of a tenure, which end with it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Scope:
-    """Starts work within a tenure and lets none join one that is ending."""
+    """Starts background tasks of a tenure, and none once the tenure is ending."""
 
     def __init__(self) -> None:
         self._group: asyncio.TaskGroup | None = None
@@ -20,15 +20,15 @@
         return f"Scope(ending={self._ending})"
 
     def enter(self, group: asyncio.TaskGroup) -> None:
-        """Have work run in a group from now on."""
+        """Run all further tasks in a task group."""
         self._group = group
 
     def end(self) -> None:
-        """Let no more work start."""
+        """Allow no further tasks to start."""
         self._ending = True
 
     def spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None] | None:
-        """Run work within the tenure, unless the tenure is ending."""
+        """Run a coroutine within the tenure, unless the tenure is ending."""
         if self._group is None or self._ending:
             work.close()
             return None
@@ -38,6 +38,6 @@
         try:
             await work
         except Exception:
-            # The group cancels the rest; no more work may join it.
+            # The group cancels the other tasks; no new task may join it.
             self._ending = True
             raise
--- a/src/linkspan/shard/ownership/_tokens.py
+++ b/src/linkspan/shard/ownership/_tokens.py
@@ -1,4 +1,4 @@
-"""Fencing tokens of one tenure: a life of an executor gets a higher one than those before it."""
+"""Assigns the fencing tokens of a tenure: each incarnation of an executor gets a higher one."""
 
 from __future__ import annotations
 
@@ -11,42 +11,43 @@
 
 
 class TenureTokens:
-    """Gives each life of an executor its fencing token.
+    """Assigns each incarnation of an executor its fencing token.
 
-    What was sent to a life that ended may come to the next one, which knows of no stop and has
-    seen no token. That one is told a higher token first, and refuses what comes under a lower one.
+    An order sent to an incarnation that has ended may arrive at the next one, which knows of no
+    stop and has seen no token. The next incarnation therefore first receives a higher token, and
+    refuses orders under a lower one.
 
     Args:
-        first: The token that this tenure was claimed under.
+        first: The token under which this tenure claimed the shard.
     """
 
     def __init__(self, first: int) -> None:
         self._first = first
-        self._least = first
-        self._highest = first
-        self._limit = first
+        self._min_token = first
+        self._highest_token = first
+        self._token_limit = first
 
     def __repr__(self) -> str:
-        return f"TenureTokens({self._first} to {self._highest}, at most {self._limit})"
+        return f"TenureTokens({self._first} to {self._highest_token}, at most {self._token_limit})"
 
     def allow(self, limit: int) -> None:
-        """Take in up to where tokens are below those of any later tenure."""
-        self._limit = max(self._limit, limit)
+        """Raise the limit up to which tokens are below those of any later tenure."""
+        self._token_limit = max(self._token_limit, limit)
 
     def of_next(self, others: Iterable[ExecutorState]) -> int:
-        """Return the token of a life that was just found.
+        """Return the token for an incarnation that was just found.
 
-        It is no higher than what is allowed: after a claim that no renewal followed yet, the next
-        life has the one before's.
+        The token does not exceed the allowed limit: after a claim that was not renewed yet, the
+        next incarnation gets the same token as the previous one.
 
         Args:
-            others: Lives with its id.
+            others: Other incarnations of the same id.
         """
-        wanted = max([self._least, *(other.token + 1 for other in others)])
-        token = min(wanted, max(self._limit, self._highest))
-        self._highest = max(self._highest, token)
+        wanted = max([self._min_token, *(other.token + 1 for other in others)])
+        token = min(wanted, max(self._token_limit, self._highest_token))
+        self._highest_token = max(self._highest_token, token)
         return token
 
     def on_end(self, token: int) -> None:
-        """Take in that a life with a token ended, whose id may come again."""
-        self._least = max(self._least, token + 1)
+        """Handle the end of an incarnation with this token, whose id may be used again."""
+        self._min_token = max(self._min_token, token + 1)
--- a/src/linkspan/shard/ownership/ownership.py
+++ b/src/linkspan/shard/ownership/ownership.py
@@ -1,7 +1,7 @@
-"""Who owns a shard: a fold of claims and renewals, and when to claim.
+"""Ownership of a shard: the current owner by claims and renewals, and when to claim.
 
-The offset of a claim is its fencing token: claims are conditional appends, so each
-comes after all that its writer had read, and offsets only rise.
+The fencing token of a tenure follows from the offset of its claim. Claims are conditional appends,
+so each one follows everything its writer had read, and offsets only increase.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 RENEW_S = 0.6
 """Time between renewals, in seconds: three fit into the silence that ends ownership."""
 
-SILENCE_S = 2.0
-"""Silence after which a host of the same hall claims a shard: a slow store answers
-in 0.4 s and a slow host takes 0.5 s longer, and neither is to cost the ownership."""
+OWNER_SILENCE_S = 2.0
+"""Silence of the owner after which a host of the same hall claims a shard: a slow store answers in
+0.4 s and a slow host takes 0.5 s longer, and neither may cost the ownership."""
 
-REMOTE_SILENCE_S = 8.0
-"""Silence after which a host of another hall claims it. Longer than cuts of a hall,
-which last 5 to 6 s and in which only its own hosts reach its executors."""
+REMOTE_OWNER_SILENCE_S = 8.0
+"""Silence of the owner after which a host of another hall claims the shard. It exceeds network cuts
+of a hall, which last 5 to 6 s and during which only the hall's own hosts reach its executors."""
 
-RELEASED_S = 0.6
-"""Time that hosts of the hall have to claim a released shard before another hall's do.
-They see a release at once and claim it with two calls, so they are first even if the
-store takes 0.4 s for each. With the look at another hall's ownership every 2 s, work of a
-cancelled job that nobody owns is stopped within the 3 s that the platform grants."""
+RELEASED_CLAIM_DELAY_S = 0.6
+"""Time that hosts of the hall have to claim a released shard before hosts of other halls may. They
+see a release at once and claim the shard with two calls, so they are first even if the store takes
+0.4 s for each. Hosts check another hall's ownership every 2 s, so that the work of a cancelled job
+without an owner is still stopped within the 3 s that the platform grants."""
 
 OFFLINE_S = 10.0
-"""Time for which an owner goes on without having proved its ownership. Outages of
-the store last up to 9 s."""
+"""Time for which an owner continues without having proved its ownership. Outages of the store last
+up to 9 s."""
 
 
-MAX_EFFECTS = 2_000
-"""Effects kept of a hall, the newest: images come and go with what runs, and a host that
-does not own the hall is not to keep those of weeks. Some 300 are known at once."""
+MAX_REMEMBERED_EFFECTS = 2_000
+"""Interference effects that are kept for a hall, the newest: images change with the workload, and a
+host that does not own the hall must not keep the effects of weeks. Some 300 are known at a time."""
 
 
 class OwnerAct(Enum):
-    """What a record of ownership says."""
+    """Kind of an ownership record."""
 
     CLAIM = "claim"
     RENEW = "renew"
@@ -59,11 +59,11 @@
     """A record of ownership.
 
     Attributes:
-        act: What it says.
+        act: Kind of the record.
         host: Name of the host that wrote it.
-        incarnation: Distinguishes the lives of the host's process.
+        incarnation: Incarnation of the host's process.
         token: Token of the tenure that is renewed or released; 0 in claims.
-        number: Counts the renewals of a tenure.
+        number: Sequence number of the renewal within its tenure.
         summary: State of the hall, in some renewals.
     """
 
@@ -75,7 +75,7 @@
     summary: HallSummary | None = None
 
     def encode(self) -> bytes:
-        """Return the record's bytes."""
+        """Return the record as bytes."""
         fields: list[object] = [self.act.value, self.host, self.incarnation, self.token]
         fields.append(self.number)
         if self.summary:
@@ -84,23 +84,24 @@
 
     @classmethod
     def decode(cls, value: bytes) -> OwnerRecord:
-        """Return the record of its bytes.
+        """Return the record that bytes hold.
 
         Raises:
-            RecordError: They are no record of ownership.
+            RecordError: The bytes are not a valid ownership record.
         """
         try:
             act, host, incarnation, token, number, *rest = parse_list(orjson.loads(value))
-            named = OwnerAct(parse_text(act)), parse_text(host), parse_text(incarnation)
-            return cls(*named, parse_int(token), parse_int(number), _summary(rest))
+            identity = OwnerAct(parse_text(act)), parse_text(host), parse_text(incarnation)
+            return cls(*identity, parse_int(token), parse_int(number), _summary(rest))
         except (ValueError, TypeError) as error:
-            raise RecordError(f"ownership record: {error!r}; it is passed over") from error
+            raise RecordError(f"invalid ownership record: {error!r}; record ignored") from error
 
 
 def _summary(rest: list[Any]) -> HallSummary | None:
-    """Return a renewal's summary, ``None`` for one of a form that is not known.
+    """Return the summary in a renewal, or ``None`` if its format is unknown.
 
-    The renewal itself stands: else hosts of two versions would take a shard from each other.
+    The renewal itself stays valid. Otherwise hosts of two versions would claim a shard from each
+    other.
     """
     try:
         return HallSummary.decode(parse_list(rest[0])) if rest else None
@@ -114,8 +115,8 @@
 
     Attributes:
         host: Name of the host.
-        incarnation: Life of its process.
-        token: Fencing token: the claim's offset and 1.
+        incarnation: Incarnation of the host's process.
+        token: Fencing token: the claim's offset plus 1.
     """
 
     host: str
@@ -125,12 +126,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a host knows of its claim of a shard.
+    """What a host knows of its own claim of a shard.
 
     Attributes:
-        sent_at: Steady time before which it was not done. The shard was this host's when it
-            was done, so its ownership is proved as of then, however late that is read.
-        former_offline_s: Time from then on for which former owners may act unproved, in seconds.
+        sent_at: Steady time before which the claim had not taken effect. The claim proves ownership
+            as of this time, however late the host reads it back.
+        former_offline_s: Time after ``sent_at`` for which former owners may act without having
+            proved their ownership, in seconds.
     """
 
     sent_at: float
@@ -138,11 +140,11 @@
 
 
 class OwnerView:
-    """Fold of a shard's records of ownership, as one host sees it.
+    """Ownership of a shard, derived from its ownership records as this host reads them.
 
     Args:
         host: This host's name.
-        incarnation: Life of this process.
+        incarnation: Incarnation of this process.
         home: Whether the shard is that of this host's hall.
     """
 
@@ -151,13 +153,13 @@
         self._incarnation = incarnation
         self._home = home
         self._owner: Owner | None = None
-        self._newest = 0
+        self._newest_token = 0
         self._token_limit = 0
         self._claim_read = False
-        self._missed = False
+        self._has_gap = False
         self._released = False
-        self._heard_at: float | None = None
-        self._others_until = float("-inf")
+        self._last_record_at: float | None = None
+        self._former_owners_until = float("-inf")
         self._summary: HallSummary | None = None
         self._effects: dict[tuple[str, str], PairEffect] = {}
 
@@ -166,7 +168,7 @@
 
     @property
     def owner(self) -> Owner | None:
-        """The present owner, ``None`` before the first claim and after a release."""
+        """The current owner; ``None`` before the first claim and after a release."""
         return self._owner
 
     @property
@@ -177,114 +179,119 @@
 
     @property
     def token_limit(self) -> int:
-        """Number up to which tokens are the owner's own, where that is this process.
+        """Limit up to which tokens belong to the owner's tenure, if this process is the owner.
 
-        Any other claim has a higher offset than what of this tenure was read without a gap.
+        Any other claim has a higher offset than the records of this tenure that were read without a
+        gap.
         """
         return self._token_limit
 
     @property
     def summary(self) -> HallSummary | None:
-        """State of the hall as its owners told it, ``None`` before one did."""
+        """State of the hall as published by its owners; ``None`` before the first summary."""
         if self._summary is None:
             return None
         return replace(self._summary, effects=tuple(self._effects.values()))
 
     def apply(self, entry: Entry, now: float) -> OwnerRecord:
-        """Take a record in.
+        """Apply an ownership record.
 
         Raises:
-            RecordError: The entry holds no record of ownership.
+            RecordError: The entry is not a valid ownership record.
         """
         record = OwnerRecord.decode(entry.value)
         if record.act is OwnerAct.CLAIM:
-            self._follow_on(record, now)
+            self._on_claim(record, now)
             self._owner = Owner(record.host, record.incarnation, entry.offset + 1)
-            self._newest = self._owner.token
+            self._newest_token = self._owner.token
             self._token_limit = self._owner.token
             self._claim_read = True
-            self._missed = False
+            self._has_gap = False
             self._released = False
-            self._heard_at = now
-        elif record.act is OwnerAct.RENEW and record.token > self._newest:
-            # The claim itself is past the log's retention, or past what was read of it. A
-            # renewal that is done late, of a tenure that ended, tells of no owner.
-            self._newest = record.token
-            self._others_until = now + OFFLINE_S - _ruled_s(record, entry.offset)
+            self._last_record_at = now
+        elif record.act is OwnerAct.RENEW and record.token > self._newest_token:
+            # The claim itself is beyond the log's retention, or was not read. A renewal of an
+            # earlier tenure that arrives late does not identify the owner.
+            self._newest_token = record.token
+            self._former_owners_until = now + OFFLINE_S - _undisputed_s(record, entry.offset)
             self._owner = Owner(record.host, record.incarnation, record.token)
             self._claim_read = False
-            self._missed = False
+            self._has_gap = False
             self._released = False
-            self._hear(record, now)
+            self._on_owner_record(record, now)
         elif self._owner and record.token == self._owner.token:
-            self._hear(record, now)
-            if self.mine and not self._missed:
+            self._on_owner_record(record, now)
+            if self.mine and not self._has_gap:
                 self._token_limit = entry.offset + 1
             if record.act is OwnerAct.RELEASE:
                 self._owner = None
                 self._released = True
         return record
 
-    def _follow_on(self, claim: OwnerRecord, now: float) -> None:
-        """Note for how long the owner before a claim, or one that was not read of, may act."""
+    def _on_claim(self, claim: OwnerRecord, now: float) -> None:
+        """Record how long former owners, known or unknown, may still act after a claim."""
         if self._released:
             return
         if self._owner is None or not self._claim_read:
-            # A renewal may be done late: others may have ruled since, in records not read.
-            self._others_until = now + OFFLINE_S
+            # A renewal may be appended late: others may have owned the shard since, in records not
+            # read.
+            self._former_owners_until = now + OFFLINE_S
         elif self._owner.host != claim.host:
-            self._others_until = max(self._others_until, now - self.silent_for(now) + OFFLINE_S)
+            self._former_owners_until = max(
+                self._former_owners_until, now - self.silent_for(now) + OFFLINE_S
+            )
 
-    def _hear(self, record: OwnerRecord, now: float) -> None:
-        self._heard_at = now
+    def _on_owner_record(self, record: OwnerRecord, now: float) -> None:
+        self._last_record_at = now
         if record.summary:
-            self._take_in(record.summary)
+            self._merge_summary(record.summary)
 
-    def _take_in(self, summary: HallSummary) -> None:
-        """Take in a hall's state, with the effects that are news.
+    def _merge_summary(self, summary: HallSummary) -> None:
+        """Store a hall's summary and merge its new effects into the known ones.
 
-        What is known of the others stays: effects are of images, whoever owns the hall.
+        Other known effects are kept: they belong to pairs of images, whoever owns the hall.
         """
         self._summary = summary
         for effect in summary.effects:
             pair = effect.standing, effect.image
             self._effects.pop(pair, None)
             self._effects[pair] = effect
-        while len(self._effects) > MAX_EFFECTS:
+        while len(self._effects) > MAX_REMEMBERED_EFFECTS:
             del self._effects[next(iter(self._effects))]
 
     def give_up(self) -> None:
-        """Take in that this process no longer acts as the owner."""
+        """Record that this process no longer acts as the owner."""
         if self.mine:
             self._owner = None
 
     def miss(self, now: float) -> None:
-        """Take in that records went that were not read, a claim of any host maybe among them."""
-        self._missed = True
+        """Handle a gap in the records that were read, which may hide a claim by any host."""
+        self._has_gap = True
         self._claim_read = False
-        self._heard_at = now
-        self._others_until = now + OFFLINE_S
+        self._last_record_at = now
+        self._former_owners_until = now + OFFLINE_S
 
     def store_back(self, now: float) -> None:
-        """Take in that the store answers this host again.
+        """Restart the owner's silence when the store answers this host again.
 
-        Silence is counted from here: until now it may have been ours.
+        The silence before may have been this host's own.
         """
-        self._heard_at = now
+        self._last_record_at = now
 
     def silent_for(self, now: float) -> float:
         """Return how long the owner has been silent, in seconds."""
-        if self._heard_at is None:
-            self._heard_at = now
-        return now - self._heard_at
+        if self._last_record_at is None:
+            self._last_record_at = now
+        return now - self._last_record_at
 
     def offline_left(self, now: float) -> float:
         """Return for how many seconds former owners may act, unproved, after a claim made now.
 
-        All of them count: the first of several in a row may be cut off from the store only, and
-        an earlier life of this host, which surely has ended, may have followed it.
+        All former owners count, not only the last one. The first of several may merely be cut off
+        from the store, and an earlier incarnation of this host, which has certainly ended, may have
+        followed it.
         """
-        others = max(self._others_until - now, 0.0)
+        others = max(self._former_owners_until - now, 0.0)
         if self._owner is None:
             return OFFLINE_S
         if self._owner.host == self._host:
@@ -292,30 +299,31 @@
         return max(OFFLINE_S - self.silent_for(now), others)
 
     def should_claim(self, now: float, *, delay_s: float = 0.0) -> bool:
-        """Whether to claim the shard, just after the store said that there is no more.
+        """Whether to claim the shard, right after the store reported no further records.
 
         Args:
             now: Steady time.
-            delay_s: Time for which faster hosts are let first, in seconds.
+            delay_s: Head start for faster hosts, in seconds.
         """
         if self.mine:
             return False
         silent = self.silent_for(now) - delay_s
         if not self._home:
-            # Who released it gives no orders any more, unlike an owner that is cut off.
-            return silent >= (RELEASED_S if self._released else REMOTE_SILENCE_S)
-        if self._missed:
-            return silent >= SILENCE_S
+            # An owner that released the shard sends no more orders, unlike one that is cut off.
+            return silent >= (RELEASED_CLAIM_DELAY_S if self._released else REMOTE_OWNER_SILENCE_S)
+        if self._has_gap:
+            return silent >= OWNER_SILENCE_S
         if self._owner is None:
             return silent >= 0.0
-        # An earlier life of this host has ended: nobody else can know that as soon.
-        return self._owner.host == self._host or silent >= SILENCE_S
+        # An earlier incarnation of this host has ended, and no other host can know that as early.
+        return self._owner.host == self._host or silent >= OWNER_SILENCE_S
 
 
-def _ruled_s(renewal: OwnerRecord, offset: int) -> float:
-    """Return for how long a renewal's tenure has surely been the last one, in seconds.
+def _undisputed_s(renewal: OwnerRecord, offset: int) -> float:
+    """Return for how long a renewal's tenure has certainly been the newest, in seconds.
 
-    More records since its claim than it has written itself are of others, maybe of a claim.
+    If there are more records since the tenure's claim than the tenure has written, others wrote
+    some of them, possibly a claim.
     """
     since_claim = offset + 1 - renewal.token
     return (renewal.number - 1) * RENEW_S if since_claim <= renewal.number else 0.0
--- a/tests/shard/test_effect_news.py
+++ b/tests/shard/test_effect_news.py
@@ -6,7 +6,12 @@
 
 from linkspan.shard.colocation._effect_selector import TOLD_AS_CHANGED, TOLD_IN_TURN, EffectSelector
 from linkspan.shard.handover.summary import HallSummary, PairEffect
-from linkspan.shard.ownership.ownership import MAX_EFFECTS, OwnerAct, OwnerRecord, OwnerView
+from linkspan.shard.ownership.ownership import (
+    MAX_REMEMBERED_EFFECTS,
+    OwnerAct,
+    OwnerRecord,
+    OwnerView,
+)
 from linkspan.store.types import Entry
 
 STANDING = 16
@@ -87,7 +92,7 @@
 
 def test_a_host_keeps_the_newest_of_many_effects() -> None:
     view = OwnerView("me", "me-1", home=False)
-    effects = [PairEffect("s", f"{n:06x}", 0.1, 1e-4) for n in range(MAX_EFFECTS + 50)]
+    effects = [PairEffect("s", f"{n:06x}", 0.1, 1e-4) for n in range(MAX_REMEMBERED_EFFECTS + 50)]
     for offset, effect in enumerate(effects):
         view.apply(record(offset, effect), 0.0)
     assert view.summary
--- a/tests/shard/test_ownership.py
+++ b/tests/shard/test_ownership.py
@@ -4,10 +4,10 @@
 
 from linkspan.shard.ownership.ownership import (
     OFFLINE_S,
-    RELEASED_S,
-    REMOTE_SILENCE_S,
+    OWNER_SILENCE_S,
+    RELEASED_CLAIM_DELAY_S,
+    REMOTE_OWNER_SILENCE_S,
     RENEW_S,
-    SILENCE_S,
     Owner,
     OwnerAct,
     OwnerRecord,
@@ -36,11 +36,11 @@
     seen.apply(entry(1, OwnerAct.CLAIM, "b"), 1.0)
     seen.apply(entry(2, OwnerAct.RENEW, "a", token=1), 2.5)
     assert seen.owner and seen.owner.host == "b"
-    assert seen.should_claim(1.0 + SILENCE_S)
+    assert seen.should_claim(1.0 + OWNER_SILENCE_S)
 
 
 def test_a_home_host_claims_after_silence_and_a_remote_one_later() -> None:
-    for home, silence in ((True, SILENCE_S), (False, REMOTE_SILENCE_S)):
+    for home, silence in ((True, OWNER_SILENCE_S), (False, REMOTE_OWNER_SILENCE_S)):
         seen = view(home=home)
         seen.apply(entry(0, OwnerAct.CLAIM, "other"), 0.0)
         assert not seen.should_claim(silence - 0.01)
@@ -59,10 +59,10 @@
     seen = view(home=False)
     seen.apply(entry(0, OwnerAct.CLAIM, "other"), 0.0)
     seen.apply(entry(1, OwnerAct.RELEASE, "other", token=1), 0.1)
-    assert not seen.should_claim(0.1 + RELEASED_S - 0.01)
-    assert seen.should_claim(0.1 + RELEASED_S)
+    assert not seen.should_claim(0.1 + RELEASED_CLAIM_DELAY_S - 0.01)
+    assert seen.should_claim(0.1 + RELEASED_CLAIM_DELAY_S)
     seen.apply(entry(2, OwnerAct.CLAIM, "third"), 0.8)
-    assert not seen.should_claim(0.8 + REMOTE_SILENCE_S - 0.01)
+    assert not seen.should_claim(0.8 + REMOTE_OWNER_SILENCE_S - 0.01)
 
 
 def test_an_earlier_life_of_the_own_host_is_replaced_at_once() -> None:
@@ -77,7 +77,7 @@
     seen.apply(entry(0, OwnerAct.CLAIM, "other"), 0.0)
     seen.store_back(6.0)
     assert not seen.should_claim(6.1)
-    assert seen.should_claim(6.0 + SILENCE_S)
+    assert seen.should_claim(6.0 + OWNER_SILENCE_S)
 
 
 def test_an_owner_whose_claim_is_forgotten_is_known_by_its_renewal() -> None:
