--- a/src/linkspan/shard/intake/__init__.py
+++ b/src/linkspan/shard/intake/__init__.py
@@ -1,1 +1,1 @@
-"""How jobs come into a shard: news of the job book, repetitions that fall due, changed terms."""
+"""Job intake of a shard: new and changed jobs, due repetitions, and changed queue terms."""
--- a/src/linkspan/shard/intake/_feed.py
+++ b/src/linkspan/shard/intake/_feed.py
@@ -1,4 +1,4 @@
-"""News of jobs from the job book, as the core takes them in."""
+"""Passes changes of jobs from the job registry to the shard's core."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     from linkspan.shard._context import TenureContext
 
 MAX_LOGGED_DELEGATIONS = 20
-"""Loans that a line names: a job may have lent hundreds of tasks, and each line that
-places one names its number, too."""
+"""Limits the delegations in one log line. A job may have hundreds of them, and the line for each
+start of a delegated task contains its number as well."""
 
 
 class JobFeed:
-    """Passes on what the job book says of the jobs of a shard.
+    """Applies the entries of the job registry to the jobs of a shard.
 
     Args:
-        context: What the tenure works with.
+        context: Shared context of the tenure.
     """
 
     def __init__(self, context: TenureContext) -> None:
@@ -38,7 +38,7 @@
         return f"JobFeed(shard={self._shard})"
 
     def on_job(self, job_id: str) -> None:
-        """Take in that something is known of a job that was not before."""
+        """Handle a change of a job's entry in the registry."""
         now = steady()
         entry = self._job_registry.catalog.get(job_id)
         if entry is None:
@@ -48,7 +48,8 @@
         elif job_id in self._core.jobs:
             self._on_known_job(job_id, entry, now)
         elif entry.shard == self._shard or self._shard in entry.delegated:
-            # A former owner that has not yet read of our claim may see it too.
+            # A previous owner that has not read this owner's claim yet may also receive the job,
+            # so it counts as inherited while reports of inherited executors are awaited.
             self.add_job(job_id, entry, now, inherited=self._core.awaiting_reports)
         self._changes.notify()
 
@@ -61,10 +62,10 @@
         inherited: bool,
         progress: dict[int, bytes] | None = None,
     ) -> None:
-        """Take a job in; a progress record that does not fit it is logged."""
+        """Add a job to the shard, and log a progress record that does not match it."""
         if entry.submitted is None:
             return
-        borrowed = None if entry.shard == self._shard else entry.open_delegations(self._shard)
+        delegations = None if entry.shard == self._shard else entry.open_delegations(self._shard)
         self._log.write(
             Event.JOB_TAKEN_IN,
             shard=self._shard,
@@ -78,8 +79,8 @@
             records=len(progress or ()),
             begun=entry.begun,
             moved=entry.moved is not None,
-            borrowed=borrowed is not None,
-            **_handed_over(entry, borrowed),
+            borrowed=delegations is not None,
+            **_handover_fields(entry, delegations),
         )
         try:
             self._core.add_job(
@@ -89,7 +90,7 @@
                 moved=entry.moved is not None,
                 begun=entry.begun,
                 progress=progress,
-                delegated_here=borrowed,
+                delegated_here=delegations,
                 delegated_elsewhere={
                     s: entry.open_delegations(s) for s in entry.delegated if s != self._shard
                 },
@@ -110,25 +111,25 @@
             self._on_moved_job(job_id, entry, now)
 
     def _on_moved_job(self, job_id: str, entry: JobEntry, now: float) -> None:
-        """Let go of a job whose move is told; the answer to its record may come later."""
+        """Remove a job whose move the registry shows, even if its write is unanswered yet."""
         self._core.remove_moved(job_id)
         if entry.open_delegations(self._shard):
             self.add_job(job_id, entry, now, inherited=self._core.awaiting_reports)
 
     def reclaim_tasks(self, job_id: str, entry: JobEntry, now: float) -> None:
-        """Look after the tasks again that other shards returned."""
+        """Manage the tasks again that other shards have returned."""
         for delegations in entry.returned_delegations.values():
             self._core.reclaim_tasks(job_id, delegations, now)
 
 
-def _handed_over(entry: JobEntry, borrowed: tuple[Delegation, ...] | None) -> dict[str, Any]:
-    """Return the records by which other shards gave a job or tasks of it."""
+def _handover_fields(entry: JobEntry, delegations: tuple[Delegation, ...] | None) -> dict[str, Any]:
+    """Return the log fields that identify the move or the delegations of a job to this shard."""
     fields: dict[str, Any] = {}
     if entry.moved:
         fields["moved_at"] = entry.moved[1]
-    if borrowed:
+    if delegations:
         fields["loans"] = {
             f"{delegation.step}.{delegation.index}": delegation.number
-            for delegation in islice(borrowed, MAX_LOGGED_DELEGATIONS)
+            for delegation in islice(delegations, MAX_LOGGED_DELEGATIONS)
         }
     return fields
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that come in, are taken over, fall due, change terms or end."""
+"""Adds jobs to a shard's state, releases due repetitions, and applies terms, cancels and ends."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     from linkspan.shard._shard_state import ShardState
     from linkspan.shard.job_run import JobRun
 
-UNREAD_RUN = 1_000_000
-"""First run of a task whose record is not readable: above all runs that an executor may
-have seen of it. At ten starts a second a task takes a day to get there."""
+FIRST_RUN_WITHOUT_RECORD = 1_000_000
+"""Number of the next run of a task whose record is not readable. It exceeds all run numbers that an
+executor may have seen: a task would reach it only after a day with ten starts per second."""
 
 
 class JobIntake:
-    """Takes jobs in and lets them go.
+    """Adds jobs to a shard's state, updates them and ends them.
 
     Args:
         state: The shard's state.
@@ -52,25 +52,25 @@
         delegated_here: Iterable[Delegation] | None = None,
         delegated_elsewhere: Mapping[int, Iterable[Delegation]] | None = None,
     ) -> None:
-        """Take in an accepted job.
+        """Add an accepted job; see :meth:`ShardCore.add_job` for the arguments.
 
         Raises:
-            RecordError: A progress record does not fit the job, which is taken in without it.
+            RecordError: A progress record does not match the job. The job is added without it.
         """
         job_id = submitted.spec.job_id
         if job_id in self._state.jobs:
             return
         if job_id in self._state.departed_jobs and delegated_here is None:
-            # A loan is newer than the move that it follows; other news is older.
+            # Only a delegation can be newer than the job's departure; any other change is older.
             return
-        # Begun by the records: its progress may not have become durable.
+        # The record of the job's begin may be durable while its progress is not.
         job = ShardJob(submitted, inherited=inherited, moved=moved, begun=begun)
         job.delegated_here = delegated_here is not None
         if submitted.terms:
             job.take_terms(submitted.terms, submitted.version)
         self._state.jobs[job.job_id] = job
         self.refresh_queue(job)
-        unread: list[str] = []
+        errors: list[str] = []
         for repetition in range(job.spec.repetitions):
             run = job.runs[repetition] = new_run(job, repetition)
             run.released = job.spec.schedule is None
@@ -78,42 +78,45 @@
                 try:
                     self._restore(run, progress[repetition], now)
                 except RecordError as error:
-                    unread.append(str(error))
-                    run = job.runs[repetition] = self._unread_run(
+                    errors.append(str(error))
+                    run = job.runs[repetition] = self._new_run_without_record(
                         job, repetition, delegated_elsewhere or {}
                     )
             elif inherited:
                 for task in run.tasks():
                     task.next_run = INHERITED_RUN_GAP
             if delegated_here is not None:
-                self._keep_only(run, delegated_here, submitted.shard)
+                self._keep_delegated_tasks(run, delegated_here, submitted.shard)
             self._state.open_steps(run, now)
         if job.limit_version is None and job.max_attempts is not None and self._state.configuration:
-            # Whatever told it, a configuration that comes later is newer.
+            # The limit has no version. Any later configuration is newer than this limit, whichever
+            # source it comes from.
             job.limit_version = self._state.configuration.version
         self._state.finish_if_done(job)
-        if unread:
-            raise RecordError("; ".join(unread))
+        if errors:
+            raise RecordError("; ".join(errors))
 
-    def _unread_run(
-        self, job: ShardJob, repetition: int, lent: Mapping[int, Iterable[Delegation]]
+    def _new_run_without_record(
+        self, job: ShardJob, repetition: int, delegated: Mapping[int, Iterable[Delegation]]
     ) -> JobRun:
-        """Return a repetition of which it is not known what was started or done.
+        """Create a repetition whose progress record is not readable.
 
-        What runs is found at the executors, or waited out as for all inherited work; what
-        they do not know any more begins anew. Tasks that other shards were told to look
-        after stay there.
+        Its live runs are found in the executors' reports, or their leases expire as for all
+        inherited work. All other tasks start from the beginning. Delegated tasks stay with the
+        shards that manage them.
         """
         run = new_run(job, repetition)
         run.released = job.spec.schedule is None
         self._state.mark_begun(job)
         for task in run.tasks():
-            task.next_run = UNREAD_RUN
-        for shard, delegations in lent.items():
+            task.next_run = FIRST_RUN_WITHOUT_RECORD
+        for shard, delegations in delegated.items():
             for delegation in delegations:
-                away = run.task(TaskName(job.job_id, repetition, delegation.step, delegation.index))
-                if away:
-                    away.managed_by, away.delegation_number = shard, delegation.number
+                found = run.task(
+                    TaskName(job.job_id, repetition, delegation.step, delegation.index)
+                )
+                if found:
+                    found.managed_by, found.delegation_number = shard, delegation.number
         self._state.mark_dirty(run)
         return run
 
@@ -129,13 +132,16 @@
                     attempt.executor_id = executor.executor_id
                     executor.add(attempt)
                 else:
-                    # Not on the roster, so proved gone by the former owner.
+                    # The roster does not name it, so the previous owner had proof of its end.
                     task.attempts.remove(attempt)
-        self._fail_if_used_up(run)
+        self._fail_if_attempts_exhausted(run)
 
-    def _fail_if_used_up(self, run: JobRun) -> None:
+    def _fail_if_attempts_exhausted(self, run: JobRun) -> None:
+        """Fail the job if a task has no attempts left or must be given up.
+
+        A previous owner may have been lost before it recorded the job's failure.
+        """
         for step in run.steps:
-            # Its former owner was lost before the end was on record.
             worst = max(step.tasks, key=lambda t: t.failures)
             failures = step.failures if step.spec.gang else worst.failures
             if run.job.used_up(failures) and not step.spec.standing:
@@ -146,11 +152,13 @@
                     why = {"reason": GIVE_UP_REASON, "task": short_name(task.name)}
                     self._state.decide(run.job, JobState.FAILED, **why)
 
-    def _keep_only(self, run: JobRun, delegations: Iterable[Delegation], home: int) -> None:
-        """Leave all tasks but the borrowed ones to the shard that the job lives in."""
-        ours = {(delegation.step, delegation.index): delegation for delegation in delegations}
+    def _keep_delegated_tasks(
+        self, run: JobRun, delegations: Iterable[Delegation], home: int
+    ) -> None:
+        """Leave all tasks to the job's home shard, except those delegated to this shard."""
+        by_task = {(delegation.step, delegation.index): delegation for delegation in delegations}
         for task in run.tasks():
-            delegation = ours.get((task.name.step, task.name.index))
+            delegation = by_task.get((task.name.step, task.name.index))
             if delegation is None:
                 task.managed_by = home
             elif task.delegation_number < delegation.number:
@@ -159,9 +167,9 @@
                 self._state.set_crash_history(task, delegated_crash_history(delegation))
 
     def refresh_queue(self, job: ShardJob) -> None:
-        """Take a job's limits from the configuration in force.
+        """Apply the terms of a job's queue from the configuration in force.
 
-        A job whose queue was removed keeps what it had.
+        A job whose queue was removed keeps its previous terms.
         """
         configuration = self._state.configuration
         queue = configuration and configuration.queues.get(job.spec.queue)
@@ -170,17 +178,17 @@
         update_expected_durations(job, self._state.durations)
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a new configuration to all jobs."""
         self._state.configuration = configuration
         for job in self._state.jobs.values():
-            before = job.max_attempts
+            previous_limit = job.max_attempts
             self.refresh_queue(job)
-            if job.max_attempts != before:
+            if job.max_attempts != previous_limit:
                 for run in job.runs.values():
-                    self._fail_if_used_up(run)
+                    self._fail_if_attempts_exhausted(run)
 
     def release_due(self, wall: float, now: float) -> None:
-        """Open repetitions that are due."""
+        """Release the repetitions whose due time has come."""
         for job in self._state.jobs.values():
             schedule = job.spec.schedule
             if schedule is None or job.closing:
@@ -191,13 +199,13 @@
                     self._state.open_steps(run, now)
 
     def cancel_job(self, job_id: str) -> None:
-        """Cancel a job; a job that is decided already stays as it is."""
+        """Cancel a job, unless its final state is already decided."""
         job = self._state.jobs.get(job_id)
         if job and not job.closing:
             self._state.decide(job, JobState.CANCELLED)
 
     def on_finished(self, job_id: str) -> None:
-        """Take in that a job's final record is durable."""
+        """Handle the final record of a job becoming durable."""
         job = self._state.jobs.get(job_id)
         if job is None:
             return
@@ -210,5 +218,5 @@
         self._state.forget_if_quiet(job)
 
     def drop_progress(self, job_id: str, repetitions: Iterable[int]) -> None:
-        """Have the records of a job that is finished, or void, removed."""
+        """Request the removal of progress records of a finished or unknown job."""
         self._state.dropped += [RunKey(job_id, number).encode() for number in repetitions]
