--- a/src/linkspan/services/http.py
+++ b/src/linkspan/services/http.py
@@ -1,4 +1,4 @@
-"""HTTP clients of the platform's services."""
+"""HTTP clients of the platform's log, workers and host list."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     Args:
         session: Shared client session.
         address: ``ip:port`` of the log service.
-        timeout_s: Time that an answer may take, beside any asked-for wait.
+        timeout_s: Maximum time for a response, in addition to any requested wait.
     """
 
     def __init__(
@@ -41,37 +41,41 @@
         """Append a record and return its offset.
 
         Raises:
-            LogUnavailable: No answer; the record may be there all the same.
+            LogUnavailable: The log did not respond; the record may still have been written.
         """
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         try:
             url = f"{self._base}/{stream}"
-            async with self._session.post(url, data=body, timeout=timeout) as answer:
-                answer.raise_for_status()
-                return int(orjson.loads(await answer.read())["offset"])
+            async with self._session.post(url, data=body, timeout=timeout) as response:
+                response.raise_for_status()
+                return int(orjson.loads(await response.read())["offset"])
         except _FAILURES as error:
-            raise LogUnavailable(f"append to {stream}: {error!r}; read back") from error
+            raise LogUnavailable(
+                f"append to {stream} failed: {error!r}; read the stream to check for it"
+            ) from error
 
     async def read(self, stream: str, start: int, *, wait_s: float = 0.0) -> LogPage:
-        """Return records from ``start`` on, waiting up to ``wait_s`` for one.
+        """Return the records from ``start`` on, waiting up to ``wait_s`` for the first one.
 
         Raises:
-            LogUnavailable: No answer.
-            LogGap: ``start`` is past the log's retention.
+            LogUnavailable: The log did not respond.
+            LogGap: The log no longer retains the record at ``start``.
         """
         timeout = aiohttp.ClientTimeout(total=self._timeout_s + wait_s)
         params = {"from": str(start), "wait": str(wait_s)}
         try:
             url = f"{self._base}/{stream}"
-            async with self._session.get(url, params=params, timeout=timeout) as answer:
-                answer.raise_for_status()
-                page = orjson.loads(await answer.read())
-                return _page(page, start)
+            async with self._session.get(url, params=params, timeout=timeout) as response:
+                response.raise_for_status()
+                page = orjson.loads(await response.read())
+                return _parse_page(page, start)
         except _FAILURES as error:
-            raise LogUnavailable(f"read of {stream}: {error!r}; it is tried again") from error
+            raise LogUnavailable(
+                f"read of {stream} failed: {error!r}; it will be retried"
+            ) from error
 
 
-def _page(page: dict[str, Any], start: int) -> LogPage:
+def _parse_page(page: dict[str, Any], start: int) -> LogPage:
     if page["first"] > start:
         raise LogGap(page["first"])
     entries = tuple(LogEntry(offset, b64decode(body)) for offset, body in page["entries"])
@@ -83,7 +87,7 @@
 
     Args:
         session: Shared client session.
-        timeout_s: Time that an exchange may take.
+        timeout_s: Maximum time for an exchange.
     """
 
     def __init__(self, session: aiohttp.ClientSession, *, timeout_s: float = 2.0) -> None:
@@ -94,19 +98,21 @@
         return f"HttpWorkers(timeout_s={self._timeout.total})"
 
     async def exchange(self, address: str, orders: ExchangeRequest) -> WorkerReport:
-        """Hand a worker its orders and return its report.
+        """Send a worker its orders and return its report.
 
         Raises:
-            Unreachable: No answer; the orders may have been carried out.
+            Unreachable: The worker did not respond; it may still have executed the orders.
         """
         url = f"http://{address}/exchange"
         body = orders_to_json(orders)
         try:
-            async with self._session.post(url, data=body, timeout=self._timeout) as answer:
-                answer.raise_for_status()
-                return report_from_json(await answer.read())
+            async with self._session.post(url, data=body, timeout=self._timeout) as response:
+                response.raise_for_status()
+                return report_from_json(await response.read())
         except _FAILURES as error:
-            raise Unreachable(f"worker at {address}: {error!r}; it is asked again") from error
+            raise Unreachable(
+                f"worker at {address}: {error!r}; the exchange will be retried"
+            ) from error
 
 
 class HttpHosts:
@@ -115,7 +121,7 @@
     Args:
         session: Shared client session.
         address: ``ip:port`` of the host list.
-        timeout_s: Time that an answer may take.
+        timeout_s: Maximum time for a response.
     """
 
     def __init__(
@@ -129,15 +135,15 @@
         return f"HttpHosts({self._url!r})"
 
     async def hosts(self) -> tuple[Host, ...]:
-        """Return the list as it stands.
+        """Return the current host list.
 
         Raises:
-            Unreachable: No answer.
+            Unreachable: The host list did not respond.
         """
         try:
-            async with self._session.get(self._url, timeout=self._timeout) as answer:
-                answer.raise_for_status()
-                rows = orjson.loads(await answer.read())
+            async with self._session.get(self._url, timeout=self._timeout) as response:
+                response.raise_for_status()
+                rows = orjson.loads(await response.read())
                 return tuple(Host(**row) for row in rows)
         except (*_FAILURES, TypeError) as error:
-            raise Unreachable(f"host list: {error!r}; the last one is kept") from error
+            raise Unreachable(f"host list: {error!r}; the last list stays in use") from error
--- a/src/linkspan/services/messages.py
+++ b/src/linkspan/services/messages.py
@@ -1,4 +1,7 @@
-"""What passes between a scheduler and a worker."""
+"""Messages between a scheduler and a worker.
+
+A scheduler sends an :class:`ExchangeRequest`; the worker responds with a :class:`WorkerReport`.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
 
 
 class AttemptKey(NamedTuple):
-    """An attempt as workers know it.
+    """Identifies an attempt in messages with workers.
 
     Attributes:
-        task: The task's name, unique over all halls.
-        attempt: The attempt's number, from 1.
+        task: The task's name, unique across all halls.
+        attempt: The attempt's number, starting at 1.
     """
 
     task: str
@@ -22,15 +25,15 @@
 
 
 class StartCommand(NamedTuple):
-    """Order to begin an attempt.
+    """An order to start an attempt.
 
     Attributes:
         run: The attempt.
-        size: What it may use; the worker refuses what does not fit.
-        kind: Kind of work.
+        size: Resources it may use; the worker rejects a start that does not fit.
+        kind: The job's kind of work.
         job_id: The caller's job id.
         index: The task's index in its job.
-        checkpoint: Where to resume, empty for the beginning.
+        checkpoint: Checkpoint to resume from; empty starts from scratch.
     """
 
     run: AttemptKey
@@ -43,19 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeRequest:
-    """What a scheduler asks of one worker in one exchange.
+    """A scheduler's orders to one worker in one exchange.
 
     Attributes:
-        incarnation: The incarnation that this is meant for; another one
-            ignores all of it and only reports.
-        lease_until: Time on the worker's clock, in seconds, to which the
-            leases of ``starts`` and ``renew`` run; starts that arrive later
-            than this are ignored.
-        starts: Attempts to begin.
-        renew: Attempts whose lease goes on.
-        stops: Attempts to checkpoint and stop, or never to begin.
-        throttles: Share of full speed (0 to 1) by attempt.
-        acknowledged: Closed attempts that need not be reported again.
+        incarnation: The worker incarnation that the orders are for; any other
+            incarnation ignores the orders and only reports.
+        lease_until: Time on the worker's clock, in seconds, at which the
+            leases of ``starts`` and ``renew`` expire; starts that arrive
+            later are ignored.
+        starts: Attempts to start.
+        renew: Attempts whose lease is extended.
+        stops: Attempts to checkpoint and stop, or never to start.
+        throttles: Fraction of full speed (0 to 1) by attempt.
+        acknowledged: Closed attempts that the worker may stop reporting.
     """
 
     incarnation: int = 0
@@ -68,14 +71,14 @@
 
 
 class ClosedAttempt(NamedTuple):
-    """An attempt that does not run and never will on this worker.
+    """An attempt that does not run on this worker and never will again.
 
     Attributes:
         run: The attempt.
-        ended: Whether it came to its end by itself.
+        ended: Whether the attempt ended by itself.
         failed: Whether that end was a failure.
-        started: Whether it ever ran.
-        checkpoint: Where a next attempt may resume, empty for the beginning.
+        started: Whether the attempt ever ran.
+        checkpoint: Checkpoint for the next attempt to resume from; empty starts from scratch.
     """
 
     run: AttemptKey
@@ -86,13 +89,13 @@
 
 
 class UsageSample(NamedTuple):
-    """A late measurement of one running attempt.
+    """A recent measurement of one running attempt.
 
     Attributes:
         run: The attempt.
-        measured: When it was measured, in seconds on the worker's clock.
-        used: What it used.
-        latency: For services, the 99th percentile over its target; else 0.
+        measured: Time of the measurement, in seconds on the worker's clock.
+        used: Resources that the attempt used.
+        latency: For services, the 99th percentile latency divided by its target; otherwise 0.
     """
 
     run: AttemptKey
@@ -103,15 +106,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """A worker's answer to an exchange.
+    """A worker's response to an exchange.
 
     Attributes:
         spec: The worker and its incarnation.
-        clock: The worker's clock in seconds when it answered.
-        leaving: Whether it is to get no new work.
-        running: Attempts that run now.
-        closed: Attempts that closed and were not acknowledged yet.
-        usage: Measurements not reported before.
+        clock: The worker's clock, in seconds, when it responded.
+        leaving: Whether the worker is draining and gets no new work.
+        running: Attempts that currently run.
+        closed: Closed attempts that are not acknowledged yet.
+        usage: Measurements since the previous report.
     """
 
     spec: WorkerSpec
--- a/src/linkspan/services/ports.py
+++ b/src/linkspan/services/ports.py
@@ -1,4 +1,4 @@
-"""The platform's services as the rest of the library sees them."""
+"""Interfaces of the platform's log, workers and host list."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class LogEntry(NamedTuple):
-    """A record of a log stream and its place."""
+    """A record of a log stream and its offset."""
 
     offset: int
     body: bytes
 
 
 class LogPage(NamedTuple):
-    """A read's answer.
+    """The result of a read.
 
     Attributes:
-        entries: Records from the asked offset on.
-        end: First offset that was not yet written when the log answered.
+        entries: Records from the requested offset on.
+        end: First offset that was not yet written when the log responded.
     """
 
     entries: tuple[LogEntry, ...]
@@ -34,15 +34,15 @@
         """Append a record and return its offset.
 
         Raises:
-            LogUnavailable: No answer; the record may be there all the same.
+            LogUnavailable: The log did not respond; the record may still have been written.
         """
 
     async def read(self, stream: str, start: int, *, wait_s: float = 0.0) -> LogPage:
-        """Return records from ``start`` on, waiting up to ``wait_s`` for one.
+        """Return the records from ``start`` on, waiting up to ``wait_s`` for the first one.
 
         Raises:
-            LogUnavailable: No answer.
-            LogGap: ``start`` is past the log's retention.
+            LogUnavailable: The log did not respond.
+            LogGap: The log no longer retains the record at ``start``.
         """
 
 
@@ -50,24 +50,24 @@
     """The platform's workers."""
 
     async def exchange(self, address: str, orders: ExchangeRequest) -> WorkerReport:
-        """Hand a worker its orders and return its report.
+        """Send a worker its orders and return its report.
 
         Raises:
-            Unreachable: No answer; the orders may have been carried out.
+            Unreachable: The worker did not respond; it may still have executed the orders.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """An entry of the platform's host list, which lags.
+    """An entry of the platform's host list, which may be out of date.
 
     Attributes:
         name: The host's name.
         hall: Its hall.
         role: ``worker``, ``executor``, ``gateway`` or ``scheduler``.
-        address: ``ip:port`` where it serves.
-        leaving: Whether it is to get no new work.
-        service: For executors, the service that it serves.
+        address: ``ip:port`` that it listens on.
+        leaving: Whether the host is draining and gets no new work.
+        service: For executors, the service that the executor serves.
     """
 
     name: str
@@ -82,8 +82,8 @@
     """The platform's host list."""
 
     async def hosts(self) -> tuple[Host, ...]:
-        """Return the list as it stands.
+        """Return the current host list.
 
         Raises:
-            Unreachable: No answer.
+            Unreachable: The host list did not respond.
         """
--- a/src/linkspan/services/wire.py
+++ b/src/linkspan/services/wire.py
@@ -1,6 +1,6 @@
-"""JSON forms of what passes between a scheduler and a worker.
+"""JSON encoding of the messages between a scheduler and a worker.
 
-This and the HTTP clients beside it are all that knows the platform's protocol.
+Only this module and the HTTP clients of this package depend on the platform's protocol.
 """
 
 from __future__ import annotations
@@ -23,49 +23,51 @@
 
 
 def orders_to_json(orders: ExchangeRequest) -> bytes:
-    """Return the orders as JSON; tuples become arrays, field by field."""
+    """Encode the orders as JSON; named tuples become arrays of their fields."""
     return orjson.dumps(orders, default=list)
 
 
 def orders_from_json(body: bytes) -> ExchangeRequest:
-    """Return the orders of a JSON form made by :func:`orders_to_json`."""
+    """Decode orders that :func:`orders_to_json` encoded."""
     fields = orjson.loads(body)
     return ExchangeRequest(
         incarnation=fields["incarnation"],
         lease_until=fields["lease_until"],
-        starts=tuple(_start(row) for row in fields["starts"]),
-        renew=_runs(fields["renew"]),
-        stops=_runs(fields["stops"]),
+        starts=tuple(_parse_start(row) for row in fields["starts"]),
+        renew=_parse_attempts(fields["renew"]),
+        stops=_parse_attempts(fields["stops"]),
         throttles=tuple((AttemptKey(*run), share) for run, share in fields["throttles"]),
-        acknowledged=_runs(fields["acknowledged"]),
+        acknowledged=_parse_attempts(fields["acknowledged"]),
     )
 
 
 def report_to_json(report: WorkerReport) -> bytes:
-    """Return the report as JSON."""
+    """Encode the report as JSON."""
     return orjson.dumps(report, default=list)
 
 
 def report_from_json(body: bytes) -> WorkerReport:
-    """Return the report of a JSON form made by :func:`report_to_json`.
+    """Decode a report that :func:`report_to_json` encoded.
 
     Raises:
-        Unreachable: The bytes are no report.
+        Unreachable: The bytes are not a valid report.
     """
     try:
-        return _report(orjson.loads(body))
+        return _parse_report(orjson.loads(body))
     except (KeyError, TypeError, ValueError) as error:
-        raise Unreachable(f"worker sent no report: {error!r}; it is asked again") from error
+        raise Unreachable(
+            f"worker sent an invalid report: {error!r}; the exchange will be retried"
+        ) from error
 
 
-def _report(fields: dict[str, Any]) -> WorkerReport:
+def _parse_report(fields: dict[str, Any]) -> WorkerReport:
     spec = fields["spec"]
     spec["size"] = Resources(*spec["size"])
     return WorkerReport(
         spec=WorkerSpec(**spec),
         clock=float(fields["clock"]),
         leaving=bool(fields["leaving"]),
-        running=_runs(fields["running"]),
+        running=_parse_attempts(fields["running"]),
         closed=tuple(ClosedAttempt(AttemptKey(*row[0]), *row[1:]) for row in fields["closed"]),
         usage=tuple(
             UsageSample(AttemptKey(*run), measured, Resources(*used), latency)
@@ -74,10 +76,10 @@
     )
 
 
-def _runs(rows: list[list[Any]]) -> tuple[AttemptKey, ...]:
+def _parse_attempts(rows: list[list[Any]]) -> tuple[AttemptKey, ...]:
     return tuple(AttemptKey(*row) for row in rows)
 
 
-def _start(row: list[Any]) -> StartCommand:
+def _parse_start(row: list[Any]) -> StartCommand:
     run, size, kind, job_id, index, checkpoint = row
     return StartCommand(AttemptKey(*run), Resources(*size), kind, job_id, index, checkpoint)
