--- a/src/linkspan/platform/__init__.py
+++ b/src/linkspan/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls, no decisions."""
+"""Adapter to the users' platform: wire names, formats and calls, without any decisions."""
--- a/src/linkspan/platform/_json_service.py
+++ b/src/linkspan/platform/_json_service.py
@@ -1,4 +1,4 @@
-"""A service that speaks JSON over HTTP."""
+"""Base class of clients for services that use JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     from contextlib import AbstractAsyncContextManager
 
 
-class JsonService:
-    """What the clients of such services share.
+class JsonServiceClient:
+    """Client of a JSON service at a fixed URL.
 
     Args:
         session: Shared client session.
         address: ``ip:port`` of the service.
-        timeout_s: Time that an answer may take, ``None`` for what the service is given.
+        timeout_s: Maximum time for a response, ``None`` for the default of the service.
     """
 
     _NAME: ClassVar[str]
-    """What errors call the service."""
+    """Name of the service in error messages."""
 
     _PATH: ClassVar[str]
-    """Where it answers."""
+    """Path of the service's endpoint."""
 
     _TIMEOUT_S: ClassVar[float]
-    """Time for an answer, in seconds."""
+    """Default maximum time for a response, in seconds."""
 
     def __init__(
         self, session: aiohttp.ClientSession, address: str, *, timeout_s: float | None = None
@@ -42,17 +42,19 @@
     def __repr__(self) -> str:
         return f"{type(self).__name__}({self._url!r})"
 
-    async def _answer(self, request: AbstractAsyncContextManager[aiohttp.ClientResponse]) -> Any:
-        """Make a request and return its decoded answer.
+    async def _request_json(
+        self, request: AbstractAsyncContextManager[aiohttp.ClientResponse]
+    ) -> Any:
+        """Send a request and return the decoded body of its response.
 
         Raises:
-            Unreachable: No answer, or a refusal.
+            Unreachable: The service did not respond, or did not respond with status 200.
         """
         try:
-            async with asyncio.timeout(self._timeout_s), request as answer:
-                body = await answer.read()
-                if answer.status != 200:
-                    raise Unreachable(f"{self._NAME} answered {answer.status}; ask later")
+            async with asyncio.timeout(self._timeout_s), request as response:
+                body = await response.read()
+                if response.status != 200:
+                    raise Unreachable(f"{self._NAME} answered {response.status}; try again later")
                 return orjson.loads(body)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            raise Unreachable(f"{self._NAME}: {error!r}; it is asked again") from error
+            raise Unreachable(f"{self._NAME}: {error!r}; the request will be retried") from error
--- a/src/linkspan/platform/advice.py
+++ b/src/linkspan/platform/advice.py
@@ -8,7 +8,7 @@
 
 from linkspan._typed import parse_list, parse_number, parse_object, parse_text
 from linkspan.errors import Unreachable
-from linkspan.platform._answers import JsonService
+from linkspan.platform._json_service import JsonServiceClient
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.planning.advice import Advice
 
@@ -16,40 +16,40 @@
     from linkspan.shard.step_run import StepRun
 
 CALL_TIMEOUT_S = 5.0
-"""Time for an answer: the service takes its time for each executor named, and calls of
-one host wait for each other."""
+"""Maximum time for a response. The service spends time on each requested executor, and calls
+from one host queue behind each other."""
 
 
-class AdviceClient(JsonService):
-    """The service over HTTP."""
+class AdviceClient(JsonServiceClient):
+    """HTTP client of the policy service."""
 
     _NAME = "policy service"
     _PATH = "/api/advise"
     _TIMEOUT_S = CALL_TIMEOUT_S
 
     async def advise(self, step: StepRun, executor_ids: tuple[str, ...]) -> Advice:
-        """Ask; see :meth:`linkspan.shard.planning.advice.PolicyService.advise`."""
+        """Request tickets; see :meth:`linkspan.shard.planning.advice.PolicyService.advise`."""
         run = step.run
         name = f"{run.job.job_id}.{run.repetition}.{step.index}"
-        # "workers" names executors by their ids, and so does the answer.
+        # The request and the response identify executors by id, without their start time.
         names = {
             Incarnation.of(incarnation).executor_id: incarnation for incarnation in executor_ids
         }
         body = orjson.dumps({"step": name, "workers": list(names)})
         headers = {"Content-Type": "application/json"}
         request = self._session.post(self._url, data=body, headers=headers)
-        fields = await self._answer(request)
-        advice = _advice(fields)
+        fields = await self._request_json(request)
+        advice = _parse_advice(fields)
         tickets = {names.get(worker, worker): text for worker, text in advice.tickets.items()}
         return advice._replace(tickets=tickets)
 
 
-def _advice(fields: Any) -> Advice:
+def _parse_advice(fields: Any) -> Advice:
     try:
-        # "good" holds rows of an executor's id and its ticket.
+        # Each row of "good" holds an executor's id and its ticket.
         fields = parse_object(fields)
         good = [parse_list(row) for row in parse_list(fields.get("good"))]
         tickets = {parse_text(row[0]): parse_text(row[1]) for row in good}
         return Advice(tickets, parse_number(fields.get("valid_ms") or 0) / 1000)
     except (TypeError, ValueError, IndexError) as error:
-        raise Unreachable(f"policy service sent no advice: {error!r}; ask again") from error
+        raise Unreachable(f"policy service sent invalid advice: {error!r}; try again") from error
--- a/src/linkspan/platform/executors.py
+++ b/src/linkspan/platform/executors.py
@@ -1,4 +1,4 @@
-"""Client of the executors: start, stop, pace, and renew with a look."""
+"""HTTP client of the executors: starts, stops and paces runs, renews leases and polls reports."""
 
 from __future__ import annotations
 
@@ -25,31 +25,33 @@
     from linkspan.shard.messages import PaceOrder, StartOrder, StopOrder
 
 CALL_TIMEOUT_S = 1.0
-"""Time for an answer beside any wait: a healthy executor answers within 10 ms from
-any hall; a stop may take 0.9 s to show, but its answer does not wait for that."""
+"""Maximum time for a response, in addition to any requested wait. A healthy executor responds
+within 10 ms from any hall. A stop may take 0.9 s to take effect, but its response does not
+wait for that."""
 
 MAX_WAIT_S = 2.0
-"""Longest wait for an end that executors grant."""
+"""Longest time for which an executor delays its report while it waits for an end."""
 
-ENDS_LISTED = 500
-"""Most ends in one report, as the platform states: behind so many there may be more."""
+MAX_REPORTED_ENDS = 500
+"""Maximum number of ends in one report, as the platform specifies. A report with this many
+ends may be incomplete."""
 
-_REASONS = {
+_REJECTIONS = {
     "old": StartOutcome.SUPERSEDED,
     "late": StartOutcome.LATE,
     "room": StartOutcome.NO_ROOM,
     "ticket": StartOutcome.NO_TICKET,
 }
-_UNHEALTHY = frozenset((429, 503))
+_UNHEALTHY_STATUSES = frozenset((429, 503))
 
 
 class ExecutorClient:
-    """Calls to executors under one fencing token.
+    """Calls executors with one fencing token.
 
     Args:
         session: Shared client session.
         token: Fencing token of the caller's tenure.
-        timeout_s: Time that an answer may take, beside any wait asked for.
+        timeout_s: Maximum time for a response, in addition to any requested wait.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         if order.ticket:
             body["ticket"] = order.ticket
         status, fields = await self._call(address, order.executor_id, "run-start", body)
-        return StartAnswer(_start_outcome(status, fields), _clock(fields))
+        return StartAnswer(_start_outcome(status, fields), _parse_clock(fields))
 
     async def stop(self, address: str, order: StopOrder) -> bool:
         """Stop a run; see :meth:`linkspan.shard.tenure.Executors.stop`."""
@@ -104,9 +106,9 @@
         until_s: float | None,
         wait_s: float,
     ) -> ExecutorReport:
-        """Renew and look; see :meth:`linkspan.shard.tenure.Executors.renew`.
+        """Renew leases and poll; see :meth:`linkspan.shard.tenure.Executors.renew`.
 
-        A wait is cut to the longest that executors grant, 2 s.
+        ``wait_s`` is limited to :data:`MAX_WAIT_S`, the longest wait that executors accept.
         """
         body: dict[str, Any] = {"fencingToken": self._token, "lastSeen": acknowledged}
         if until_s is not None:
@@ -115,10 +117,12 @@
             body["waitMs"] = int(min(wait_s, MAX_WAIT_S) * 1000)
         status, fields = await self._call(address, executor_id, "hold", body, wait_s=wait_s)
         if status != 200:
-            raise Unreachable(f"executor at {address} answered {status}; it is asked again")
-        report = _report(fields)
+            raise Unreachable(f"executor at {address} answered {status}; it will be polled again")
+        report = _parse_report(fields)
         if report.started_at_ms is None and Incarnation.of(executor_id).started_at_ms is not None:
-            raise Unreachable(f"executor at {address} does not tell its birth; it is asked again")
+            raise Unreachable(
+                f"executor at {address} omits its start time; it will be polled again"
+            )
         return report
 
     async def _call(
@@ -138,37 +142,47 @@
         try:
             async with asyncio.timeout(self._timeout_s + wait_s):
                 data = orjson.dumps(body)
-                async with self._session.post(url, data=data, headers=headers) as answer:
-                    status = answer.status
-                    fields = orjson.loads(await answer.read() or b"{}")
+                async with self._session.post(url, data=data, headers=headers) as response:
+                    status = response.status
+                    fields = orjson.loads(await response.read() or b"{}")
         except aiohttp.ClientConnectorError as error:
-            raise Unconnected(f"executor at {address}: {error!r}; it is asked again") from error
+            raise Unconnected(
+                f"executor at {address}: {error!r}; the call will be retried"
+            ) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            raise Unreachable(f"executor at {address}: {error!r}; it is asked again") from error
+            raise Unreachable(
+                f"executor at {address}: {error!r}; the call will be retried"
+            ) from error
         if status == 421:
-            raise WrongIncarnation(f"{executor_id} is gone from {address}; use its successor")
+            raise WrongIncarnation(
+                f"{executor_id} no longer runs at {address}; use its next incarnation"
+            )
         if not isinstance(fields, dict):
-            raise Unreachable(f"executor at {address} sent no object; it is asked again")
+            raise Unreachable(
+                f"executor at {address} sent no JSON object; the call will be retried"
+            )
         if status == 409 and fields.get("reason") == "fence":
-            raise Fenced(f"executor at {address} obeys a newer owner; give up the shard")
+            raise Fenced(
+                f"executor at {address} has seen a higher fencing token; give up the shard"
+            )
         return status, fields
 
 
 def task_to_wire(task: TaskName) -> str:
-    """Return a task's name as executors spell it."""
+    """Return a task's name in the format that executors use."""
     return f"{task.job_id}.{task.repetition}.{task.step}.{task.index}"
 
 
 def task_from_wire(text: str) -> TaskName:
-    """Return the task of a name.
+    """Return the task with a name in the format that executors use.
 
     Raises:
-        ValueError: It is no name of a task.
+        ValueError: The text is not a task name.
     """
     job_id, *numbers = text.split(".")
     repetition, step, index = map(int, numbers)
     if repetition < 0 or step < 0 or index < 0:
-        raise ValueError(f"{text!r:.60} names no task")
+        raise ValueError(f"{text!r:.60} is not a task name")
     return TaskName(job_id, repetition, step, index)
 
 
@@ -176,33 +190,39 @@
     if status == 200:
         return StartOutcome.STARTED
     if status == 409:
-        return _REASONS.get(str(fields.get("reason")), StartOutcome.INVALID)
-    return StartOutcome.UNHEALTHY if status in _UNHEALTHY else StartOutcome.INVALID
+        return _REJECTIONS.get(str(fields.get("reason")), StartOutcome.INVALID)
+    return StartOutcome.UNHEALTHY if status in _UNHEALTHY_STATUSES else StartOutcome.INVALID
 
 
-def _clock(fields: dict[str, Any]) -> float | None:
+def _parse_clock(fields: dict[str, Any]) -> float | None:
     clock_ms = fields.get("clockMs")
     try:
         return None if clock_ms is None else parse_number(clock_ms) / 1000
     except (TypeError, ValueError) as error:
-        raise Unreachable(f"executor's clock: {error!r}; it is asked again") from error
+        raise Unreachable(
+            f"executor sent an invalid clock: {error!r}; the call will be retried"
+        ) from error
 
 
-def _report(fields: dict[str, Any]) -> ExecutorReport:
+def _parse_report(fields: dict[str, Any]) -> ExecutorReport:
     try:
         ended = parse_list(fields.get("ended"))
         return ExecutorReport(
             clock_s=parse_number(fields["clockMs"]) / 1000,
-            running=tuple(_running(parse_list(row)) for row in parse_list(fields.get("running"))),
-            ended=tuple(_ended(parse_list(row)) for row in ended),
-            is_complete=len(ended) < ENDS_LISTED,
+            running=tuple(
+                _parse_running(parse_list(row)) for row in parse_list(fields.get("running"))
+            ),
+            ended=tuple(_parse_ended(parse_list(row)) for row in ended),
+            is_complete=len(ended) < MAX_REPORTED_ENDS,
             started_at_ms=parse_started_at_ms(fields.get("born")),
         )
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise Unreachable(f"executor sent no report: {error!r}; it is asked again") from error
+        raise Unreachable(
+            f"executor sent an invalid report: {error!r}; it will be polled again"
+        ) from error
 
 
-def _running(row: list[Any]) -> RunningTask:
+def _parse_running(row: list[Any]) -> RunningTask:
     usage = None if len(row) < 5 or row[4] is None else parse_number(row[4])
     progress = parse_int(row[3]) if len(row) > 3 else 0
     return RunningTask(
@@ -214,17 +234,24 @@
     )
 
 
-def _ended(row: list[Any]) -> EndedTask:
-    # Later versions may tell more behind it.
+def _parse_ended(row: list[Any]) -> EndedTask:
+    # Later versions of the platform may append fields to the row.
     count, task, run, how, saved, *_ = row
     name = task_from_wire(parse_text(task))
     return EndedTask(
-        parse_int(count), name, parse_int(run), _end_kind(parse_text(how)), parse_text(saved or "")
+        parse_int(count),
+        name,
+        parse_int(run),
+        _parse_end_kind(parse_text(how)),
+        parse_text(saved or ""),
     )
 
 
-def _end_kind(how: str) -> EndKind:
-    """Return how a run ended; one that this version does not know was not done, nor failed."""
+def _parse_end_kind(how: str) -> EndKind:
+    """Return how a run ended.
+
+    An unknown kind counts as stopped: the run neither finished its task nor failed.
+    """
     try:
         return EndKind(how)
     except ValueError:
--- a/src/linkspan/platform/jobs.py
+++ b/src/linkspan/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Bodies that callers send and get."""
+"""JSON bodies of callers' requests and of the responses to them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from linkspan.platform.records import demand_from_wire
 
 TIMEOUT_HEADER = "Linkspan-Timeout-Ms"
-"""Header in which callers say how long they wait, in milliseconds."""
+"""Request header with the time for which the caller waits for a response, in milliseconds."""
 
 
 def job_from_wire(job_id: str, queue: str, body: bytes) -> JobSpec:
-    """Return the job of a caller's body.
+    """Return the job that a caller's body describes.
 
     Raises:
-        InvalidInput: The body is no valid job.
+        InvalidInput: The body does not describe a valid job.
     """
     try:
         fields = parse_object(orjson.loads(body))
@@ -28,8 +28,8 @@
             job_id=job_id,
             queue=queue,
             payload=parse_text(fields.get("spec") or ""),
-            steps=tuple(_step(parse_object(row)) for row in parse_list(fields["steps"])),
-            schedule=_schedule(fields),
+            steps=tuple(_parse_step(parse_object(row)) for row in parse_list(fields["steps"])),
+            schedule=_parse_schedule(fields),
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise InvalidInput("body", f"{error!r}", "send the documented fields") from error
@@ -37,7 +37,7 @@
     return spec
 
 
-def _schedule(fields: dict[str, Any]) -> Schedule | None:
+def _parse_schedule(fields: dict[str, Any]) -> Schedule | None:
     count = parse_int(fields.get("repeatCount") or 0)
     if not count:
         return None
@@ -45,7 +45,7 @@
     return Schedule(count, first_s, parse_number(fields.get("intervalMs") or 0) / 1000)
 
 
-def _step(row: dict[str, Any]) -> StepSpec:
+def _parse_step(row: dict[str, Any]) -> StepSpec:
     budget = row.get("may_miss")
     standing = bool(row.get("indefinite"))
     return StepSpec(
@@ -60,7 +60,7 @@
         one_rack=bool(row.get("rackLocal")),
         speculative=bool(row.get("speculative")),
         standing=standing,
-        # An omitted 0 means that none may be away.
+        # Callers omit a value of 0, which allows no task to be interrupted.
         disruption_budget=parse_int(budget or 0) if standing else None,
         best_effort=bool(row.get("fills")),
         image=parse_text(row.get("image") or ""),
@@ -70,7 +70,7 @@
 
 
 class JsonCallerFormat:
-    """Form of what callers send and get."""
+    """Decodes callers' requests and encodes the responses to them as JSON."""
 
     timeout_header = TIMEOUT_HEADER
 
@@ -78,17 +78,17 @@
         return "JsonCallerFormat()"
 
     def job(self, job_id: str, queue: str, body: bytes) -> JobSpec:
-        """Return the job of a body.
+        """Return the job that a body describes.
 
         Raises:
-            InvalidInput: It is no valid job.
+            InvalidInput: The body does not describe a valid job.
         """
         return job_from_wire(job_id, queue, body)
 
     def state(self, state: JobState) -> bytes:
-        """Return the answer to a question for a job's state."""
+        """Return the response to a request for a job's state."""
         return orjson.dumps({"state": state.value})
 
     def waiting(self, count: int) -> bytes:
-        """Return the answer to a question for a queue's waiting jobs."""
+        """Return the response to a request for the number of a queue's waiting jobs."""
         return orjson.dumps({"waiting": count})
--- a/src/linkspan/platform/machines.py
+++ b/src/linkspan/platform/machines.py
@@ -1,4 +1,4 @@
-"""Client of the platform's machine service."""
+"""HTTP client of the platform's machine service, which lists machines and their state."""
 
 from __future__ import annotations
 
@@ -7,92 +7,93 @@
 
 from linkspan._typed import parse_text
 from linkspan.errors import Unreachable
-from linkspan.platform._answers import JsonService
+from linkspan.platform._json_service import JsonServiceClient
 from linkspan.shard.machines import MachineRecord, MachineState, UnreadMachines
 
 if TYPE_CHECKING:
     from linkspan.shard.machines import MachineList
 
 CALL_TIMEOUT_S = 1.0
-"""Time for an answer: a healthy service answers within 10 ms."""
+"""Maximum time for a response; a healthy service responds within 10 ms."""
 
 
-class MachineClient(JsonService):
-    """The machine service over HTTP."""
+class MachineClient(JsonServiceClient):
+    """HTTP client of the machine service."""
 
     _NAME = "machine service"
     _PATH = "/api/machines"
     _TIMEOUT_S = CALL_TIMEOUT_S
 
     async def machines(self) -> MachineList:
-        """Return all machines, and places of the list that cannot be read.
+        """Return all machines, with a marker for each part of the list that cannot be parsed.
 
-        A row is sound if it has all fields, they are texts and its state is named. A row
-        that is not, a page without rows and a token of the next page that is no text are told
-        as :class:`~linkspan.shard.machines.UnreadMachines`, and all else that came holds.
-        What such a list proves is not decided here.
+        A row is valid if it has all fields, each of them is a text and its state is known. An
+        invalid row, a page without rows and an invalid token of the next page each become an
+        :class:`~linkspan.shard.machines.UnreadMachines`; the rest of the list remains valid.
+        The caller decides what an incomplete list proves.
 
         Raises:
-            Unreachable: No answer, a refusal, or an answer that is no page.
+            Unreachable: The service did not respond with status 200, sent no JSON object or
+                repeated a page.
         """
         records: list[MachineRecord | UnreadMachines] = []
         token = ""
         seen = set()
         while True:
             fields = await self._page(token)
-            records += _machines(fields)
+            records += _parse_rows(fields)
             try:
-                token = _next_token(fields)
+                token = _parse_next_token(fields)
             except (TypeError, ValueError):
-                # Pages follow, and nothing says where.
+                # More pages follow, but the token to request them is invalid.
                 return (*records, UnreadMachines())
             if not token:
                 return tuple(records)
             if token in seen:
-                raise Unreachable("machine service repeats its pages; it is asked again")
+                raise Unreachable("machine service repeats its pages; the request will be retried")
             seen.add(token)
 
     async def _page(self, token: str) -> dict[str, Any]:
         query = f"?pageToken={quote(token, safe='')}" if token else ""
-        page = await self._answer(self._session.get(self._url + query))
+        page = await self._request_json(self._session.get(self._url + query))
         if not isinstance(page, dict):
-            raise Unreachable("machine service sent no page; it is asked again")
+            raise Unreachable("machine service sent no JSON object; the request will be retried")
         return page
 
 
-def _machines(page: dict[str, Any]) -> list[MachineRecord | UnreadMachines]:
+def _parse_rows(page: dict[str, Any]) -> list[MachineRecord | UnreadMachines]:
     listed = page.get("machines")
     if not isinstance(listed, list):
         return [UnreadMachines()]
-    return [_machine_or_not(row) for row in listed]
+    return [_parse_row(row) for row in listed]
 
 
-def _next_token(page: dict[str, Any]) -> str:
+def _parse_next_token(page: dict[str, Any]) -> str:
     token = page.get("nextToken")
     return "" if token is None else parse_text(token)
 
 
-def _machine_or_not(row: Any) -> MachineRecord | UnreadMachines:
+def _parse_row(row: Any) -> MachineRecord | UnreadMachines:
     try:
-        return _machine(row)
+        return _parse_machine(row)
     except (KeyError, TypeError, ValueError):
-        return UnreadMachines(_readable_id(row))
+        return UnreadMachines(_executor_id_of(row))
 
 
-def _readable_id(row: Any) -> str | None:
+def _executor_id_of(row: Any) -> str | None:
     try:
-        # An odd row that names no executor may as well have lost its name.
+        # An invalid row with an empty id may belong to any executor: the id may have been lost.
         return parse_text(row["id"]) or None
     except (KeyError, TypeError, ValueError):
         return None
 
 
-def _machine(row: Any) -> MachineRecord:
+def _parse_machine(row: Any) -> MachineRecord:
     return MachineRecord(
         name=parse_text(row["machine"]),
-        # "pool" names the service whose executors the machine runs.
+        # "pool" is the service whose executors the machine runs.
         service=parse_text(row["pool"]),
         state=MachineState(parse_text(row["state"])),
-        # "id" is that of the machine's executor: an empty text, not left out, while it has none.
+        # "id" is the id of the machine's executor, an empty text while the machine has none.
         executor_id=parse_text(row["id"]),
     )
--- a/src/linkspan/platform/readiness.py
+++ b/src/linkspan/platform/readiness.py
@@ -1,3 +1,3 @@
-"""Where the platform's balancer asks whether a host takes connections."""
+"""Path at which the platform's load balancer checks whether a host accepts connections."""
 
 READINESS_PATH = "/api/readiness"
--- a/src/linkspan/platform/records.py
+++ b/src/linkspan/platform/records.py
@@ -1,4 +1,4 @@
-"""Records that the operator and the executors write into the store."""
+"""Parsers for the records that the operator and the executors write to the store."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.messages import ExecutorRecord
 
-_DRAINING = {"ready": False, "draining": True}
-"""Whether an executor drains, by the states that its entry may name."""
+_IS_DRAINING = {"ready": False, "draining": True}
+"""Whether an executor drains, by the ``state`` of its record."""
 
 
 def configuration_from_wire(value: bytes) -> Configuration:
-    """Return the configuration of an operator's record.
+    """Return the configuration that an operator's record holds.
 
     Raises:
-        RecordError: The bytes are no configuration.
+        RecordError: The bytes are not a valid configuration.
     """
     try:
         fields = parse_object(orjson.loads(value))
-        queues = [_queue(parse_object(row)) for row in parse_list(fields.get("routes"))]
-        services = [_service(parse_object(row)) for row in parse_list(fields.get("services"))]
+        queues = [_parse_queue(parse_object(row)) for row in parse_list(fields.get("routes"))]
+        services = [_parse_service(parse_object(row)) for row in parse_list(fields.get("services"))]
         limits = parse_object(fields.get("limits"))
         return Configuration(
             version=parse_int(fields["version"]),
@@ -46,7 +46,7 @@
         raise RecordError(f"configuration: {error!r}; publish a valid one") from error
 
 
-def _queue(row: dict[str, Any]) -> Queue:
+def _parse_queue(row: dict[str, Any]) -> Queue:
     advice = parse_object(row.get("advice"))
     return Queue(
         name=parse_text(row["name"]),
@@ -62,89 +62,89 @@
     )
 
 
-def _service(row: dict[str, Any]) -> Service:
+def _parse_service(row: dict[str, Any]) -> Service:
     return Service(
         name=parse_text(row["name"]),
-        # "admissionCheck" says whether the executors reject what does not fit.
+        # "admissionCheck" states whether the executors reject starts that exceed their capacity.
         guards_room=bool(row.get("admissionCheck", False)),
         spare=bool(row.get("spare", False)),
     )
 
 
 def executor_from_wire(executor_id: str, value: bytes) -> ExecutorRecord:
-    """Return the executor of its own record.
+    """Return the executor that its own record describes.
 
     Raises:
-        RecordError: The bytes are no executor's record.
+        RecordError: The bytes are not a valid executor record.
     """
     try:
         fields = parse_object(orjson.loads(value))
-        _check_unused(fields)
-        labels = [parse_text(label) for label in _list(fields["labels"])]
+        _check_unused_fields(fields)
+        labels = [parse_text(label) for label in _parse_required_list(fields["labels"])]
         return ExecutorRecord(
-            executor_id=_incarnation(executor_id, fields).name,
-            service=_name(fields["service"]),
-            address=_address(fields["address"]),
-            hall=_name(fields["zone"]),
-            capacity=_capacity(fields["capacity"]),
-            # The labels are its kind and then its rack.
+            executor_id=_parse_incarnation(executor_id, fields).name,
+            service=_parse_name(fields["service"]),
+            address=_parse_address(fields["address"]),
+            hall=_parse_name(fields["zone"]),
+            capacity=_parse_capacity(fields["capacity"]),
+            # The labels are the executor's kind, followed by its rack.
             labels=frozenset(labels),
             rack=labels[-1] if labels else "",
-            draining=_DRAINING[parse_text(fields["state"])],
-            # Below 0 it stays beyond its time; that it drains counts all the same.
+            draining=_IS_DRAINING[parse_text(fields["state"])],
+            # Negative once the executor outlives its announced end; it still drains.
             remaining_s=max(parse_number(fields.get("remainingMs") or 0, minimum=-MAX_FLOAT), 0)
             / 1000,
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise RecordError(f"executor {executor_id}: {error!r}; it names none to use") from error
+        raise RecordError(f"executor {executor_id}: {error!r}; the record is ignored") from error
 
 
-def _incarnation(executor_id: str, fields: dict[str, Any]) -> Incarnation:
+def _parse_incarnation(executor_id: str, fields: dict[str, Any]) -> Incarnation:
     incarnation = Incarnation(executor_id, parse_started_at_ms(fields.get("born")))
     if Incarnation.of(incarnation.name) != incarnation:
-        raise ValueError(f"{executor_id!r:.60} is no id")
+        raise ValueError(f"{executor_id!r:.60} is not a valid executor id")
     return incarnation
 
 
-def _check_unused(fields: dict[str, Any]) -> None:
-    """Check the fields that executors always write and that no decision needs.
+def _check_unused_fields(fields: dict[str, Any]) -> None:
+    """Check the fields that executors always write but no decision uses.
 
-    An entry without them comes from another writer.
+    A record without them was not written by an executor.
     """
-    _name(fields["version"])
+    _parse_name(fields["version"])
     for name in ("slots", "coldRemainingMs", "callSeq"):
         parse_int(fields[name])
 
 
-def _name(value: Any) -> str:
-    """Return a text that is not empty."""
+def _parse_name(value: Any) -> str:
+    """Return a non-empty text."""
     if not value:
-        raise ValueError("a name is empty")
+        raise ValueError("name is empty")
     return parse_text(value)
 
 
-def _address(value: Any) -> str:
-    """Return an ``ip:port``."""
+def _parse_address(value: Any) -> str:
+    """Return an address in the form ``ip:port``."""
     ip, _, port = parse_text(value).rpartition(":")
-    if not ip or not port.isdecimal() or any(sign.isspace() for sign in ip):
-        raise ValueError(f"{value!r:.60} is no address")
+    if not ip or not port.isdecimal() or any(character.isspace() for character in ip):
+        raise ValueError(f"{value!r:.60} is not an address")
     return parse_text(value)
 
 
-def _list(value: Any) -> list[Any]:
+def _parse_required_list(value: Any) -> list[Any]:
     if value is None:
-        raise TypeError("a list is missing")
+        raise TypeError("list is missing")
     return parse_list(value)
 
 
-def _capacity(value: Any) -> Demand:
+def _parse_capacity(value: Any) -> Demand:
     fields = parse_object(value)
     # "cpu" counts thousandths of a core.
     return Demand(parse_int(fields["cpu"]), parse_int(fields["memMb"]), parse_int(fields["gpu"]))
 
 
 def demand_from_wire(fields: dict[str, Any]) -> Demand:
-    """Return the room that a capacity or a step names."""
+    """Return the resources that a capacity or a step specifies."""
     return Demand(
         # "cpu" counts thousandths of a core.
         parse_int(fields.get("cpu") or 0),
--- a/src/linkspan/platform/settings.py
+++ b/src/linkspan/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Parser for the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from linkspan.model.settings import Bounds, HostSettings, StoreLimits
 
 PATH_VARIABLE = "LINKSPAN_BOOT"
-"""Environment variable that holds the file's path."""
+"""Environment variable with the path of the settings file."""
 
-_BOUNDS = {
-    # field: (name on the wire, seconds in one of its units)
+_BOUND_FIELDS = {
+    # field: (name in the file, factor that converts its value to the field's unit)
     "max_lease_s": ("holdMaxMs", 0.001),
     "stop_s": ("stop_ms", 0.001),
     "drain_s": ("drainMs", 0.001),
@@ -33,10 +33,10 @@
 
 
 def settings_path() -> Path:
-    """Return where the settings file lies.
+    """Return the path of the settings file.
 
     Raises:
-        SettingsError: The environment does not tell.
+        SettingsError: The environment variable is not set.
     """
     path = os.environ.get(PATH_VARIABLE)
     if not path:
@@ -45,7 +45,7 @@
 
 
 def read_settings(path: Path) -> HostSettings:
-    """Read and check a settings file; fields that are not known are passed over.
+    """Read and check a settings file; unknown fields are ignored.
 
     Raises:
         SettingsError: The file cannot be read, or a field is missing or malformed.
@@ -56,18 +56,18 @@
     except (OSError, yaml.YAMLError, ValueError, TypeError, KeyError, RecursionError) as error:
         raise SettingsError(f"{path}: {error}; check the settings file") from error
     try:
-        return _settings(parse_object(fields))
+        return _parse_settings(parse_object(fields))
     except (KeyError, TypeError, ValueError, RecursionError) as error:
         raise SettingsError(f"{path}: field {error}; give it in the documented form") from error
 
 
-def _settings(fields: dict[str, Any]) -> HostSettings:
+def _parse_settings(fields: dict[str, Any]) -> HostSettings:
     addresses = parse_object(fields["bindAddresses"])
     store = parse_object(fields["platform"])
     if fields.get("commands", "invoke") != "invoke":
         raise SettingsError("commands: only 'invoke' is supported; set it to that")
     hall = parse_text(fields["zone"])
-    halls = _halls(fields["zones"])
+    halls = _parse_halls(fields["zones"])
     if hall not in halls:
         raise ValueError(f"zone: {hall!r} is not among zones")
     return HostSettings(
@@ -83,34 +83,37 @@
         ),
         advice=parse_text(fields.get("advice") or ""),
         machines=parse_text(parse_object(fields.get("cloudApi")).get("address") or ""),
-        bounds=_bounds(parse_object(fields.get("bounds"))),
+        bounds=_parse_bounds(parse_object(fields.get("bounds"))),
         executor_heartbeat_s=parse_number(fields.get("heartbeatMs") or 1500) / 1000,
         memory_mb=parse_int(parse_object(fields.get("limits")).get("memoryMb") or 300, minimum=1),
-        peer_ports=_ports(fields.get("internalPortRange")),
+        peer_ports=_parse_ports(fields.get("internalPortRange")),
         ip=parse_text(fields["ip"]),
     )
 
 
-def _halls(given: Any) -> tuple[str, ...]:
-    """Return the halls in order, of a list of them or an object that has them as keys."""
-    named = given if isinstance(given, dict) else parse_list(given)
-    return tuple(sorted(parse_text(hall) for hall in named))
+def _parse_halls(value: Any) -> tuple[str, ...]:
+    """Return the sorted halls from a list of halls or an object with the halls as keys."""
+    names = value if isinstance(value, dict) else parse_list(value)
+    return tuple(sorted(parse_text(hall) for hall in names))
 
 
-def _ports(given: Any) -> tuple[int, int]:
-    """Return the first and the last port; hosts use none, so no form of them is refused."""
+def _parse_ports(value: Any) -> tuple[int, int]:
+    """Return the first and the last port, or zeros for an invalid range.
+
+    Hosts use no port of the range, so an invalid one is not an error.
+    """
     try:
-        first, last = (parse_int(port) for port in parse_list(given))
+        first, last = (parse_int(port) for port in parse_list(value))
     except (TypeError, ValueError):
         return (0, 0)
     return (first, last)
 
 
-def _bounds(given: dict[str, Any]) -> Bounds:
+def _parse_bounds(value: dict[str, Any]) -> Bounds:
     return Bounds(
         **{
-            field: parse_number(given[name]) * unit
-            for field, (name, unit) in _BOUNDS.items()
-            if given.get(name) is not None
+            field: parse_number(value[name]) * unit
+            for field, (name, unit) in _BOUND_FIELDS.items()
+            if value.get(name) is not None
         }
     )
--- a/src/linkspan/platform/store.py
+++ b/src/linkspan/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's log store."""
+"""HTTP client of the platform's log store."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
     from linkspan.store.types import Producer, Record
 
 CONFIG_RECORDS = Partition("op", keyed=True)
-"""Where the operator writes: the configuration and maintenance waves."""
+"""Partition that the operator writes: the configuration and maintenance waves."""
 
 EXECUTOR_RECORDS = Partition("servers", keyed=True)
-"""Where executors register themselves, each under its id."""
+"""Partition in which each executor registers itself under its id."""
 
 CONFIG_KEY = b"config"
 """Key of the configuration among the operator's records."""
 
-_LENGTH = Struct(">I")
-_READ_HEAD = Struct(">QQ")
+_RECORD_LENGTH = Struct(">I")
+_PAGE_HEADER = Struct(">QQ")
 
-_MIN_KB = 1
-"""Smallest size of an answer to a read that can be asked for, in kilobytes."""
+_MIN_READ_KB = 1
+"""Smallest limit that a read can set on its records, in kilobytes."""
 
-_NOTHING_DONE = frozenset((429, 503, 507))
-"""Statuses of calls of which the store has surely done nothing."""
+_NOT_EXECUTED_STATUSES = frozenset((429, 503, 507))
+"""Statuses of calls that the store certainly did not execute."""
 
 
 class StoreClient:
-    """The log store over HTTP.
+    """HTTP client of the log store.
 
     Args:
         session: Shared client session.
         address: ``ip:port`` of the store.
-        timeout_s: Time that an answer may be silent, beside any wait asked for.
-        whole_s: Time that a whole answer may take, beside any wait asked for.
-        read_bytes: Bytes of records to ask for in one read.
+        timeout_s: Maximum time without received data, in addition to any requested wait.
+        max_response_s: Maximum time for a complete response, in addition to any requested wait.
+        max_read_bytes: Maximum size of the records to request in one read.
     """
 
     def __init__(
@@ -65,14 +65,14 @@
         address: str,
         *,
         timeout_s: float = IDLE_TIMEOUT_S,
-        whole_s: float = MAX_RESPONSE_S,
-        read_bytes: int = MAX_READ_BYTES,
+        max_response_s: float = MAX_RESPONSE_S,
+        max_read_bytes: int = MAX_READ_BYTES,
     ) -> None:
         self._session = session
         self._base = f"http://{address}/api/"
         self._timeout_s = timeout_s
-        self._whole_s = whole_s
-        self._read_kb = read_bytes // 1024
+        self._max_response_s = max_response_s
+        self._read_kb = max_read_bytes // 1024
 
     def __repr__(self) -> str:
         return f"StoreClient({self._base!r})"
@@ -86,31 +86,31 @@
         producer: Producer | None = None,
     ) -> Appended:
         """Append records; see :meth:`linkspan.store.types.Store.append`."""
-        query = _place(partition)
+        query = _partition_query(partition)
         if at is not None:
             query += f"&at={at}"
         if producer:
             query += f"&producer={producer.name}&epoch={producer.epoch}"
             query += f"&callSeq={producer.sequence}"
-        body = b"".join(_frame(partition, record) for record in records)
-        status, answer = await self._call("POST", f"log-append?{query}", body)
-        return _appended(status, answer)
+        body = b"".join(_encode_record(partition, record) for record in records)
+        status, data = await self._call("POST", f"log-append?{query}", body)
+        return _parse_append_result(status, data)
 
     async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
         """Read records; see :meth:`linkspan.store.types.Store.read`."""
-        path = f"log-read?{_place(partition)}&from={start}&max_kb={self._read_kb}"
+        path = f"log-read?{_partition_query(partition)}&from={start}&max_kb={self._read_kb}"
         if wait_s:
             path += f"&waitMs={round(wait_s * 1000)}"
-        return _page(partition, start, await self._records(path, wait_s=wait_s))
+        return _parse_page(partition, start, await self._read_records(path, wait_s=wait_s))
 
     async def end(self, partition: Partition, start: int) -> int:
-        """Find the end; see :meth:`linkspan.store.types.Store.end`."""
-        # The answer's head tells the end, however little of the records is asked for.
-        path = f"log-read?{_place(partition)}&from={start}&max_kb={_MIN_KB}"
-        return _end(await self._records(path))
+        """Return the end; see :meth:`linkspan.store.types.Store.end`."""
+        # The header of the response holds the end, so the smallest number of records suffices.
+        path = f"log-read?{_partition_query(partition)}&from={start}&max_kb={_MIN_READ_KB}"
+        return _parse_end(await self._read_records(path))
 
     async def newest(self, partition: Partition) -> Page:
-        """Read the newest keys; see :meth:`linkspan.store.types.Store.newest`."""
+        """Read the newest record of each key; see :meth:`linkspan.store.types.Store.newest`."""
         page = await self.newest_page(partition)
         entries, end = list(page.entries), page.end
         while page.more:
@@ -119,161 +119,168 @@
         return Page(tuple(entries), end)
 
     async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        """Read a page of keys; see :meth:`linkspan.store.types.Store.newest_page`."""
-        # "dependsOn" is the wire's name for the key to go on after.
+        """Read one page of keys; see :meth:`linkspan.store.types.Store.newest_page`."""
+        # "dependsOn" is the wire name of the key after which the page starts.
         rest = "" if after is None else f"&dependsOn={quote(after, safe='')}"
-        status, answer = await self._call("GET", f"log-newest?{_place(partition)}{rest}")
-        _check(status)
-        page = _key_page(answer)
+        status, data = await self._call("GET", f"log-newest?{_partition_query(partition)}{rest}")
+        _check_status(status)
+        page = _parse_key_page(data)
         if page.more and page.entries[-1].key == after:
             raise StoreUnanswered("store repeats a page of keys; read again")
         return page
 
-    async def _records(self, path: str, *, wait_s: float = 0.0) -> bytes:
-        status, answer = await self._call("GET", path, wait_s=wait_s)
+    async def _read_records(self, path: str, *, wait_s: float = 0.0) -> bytes:
+        status, data = await self._call("GET", path, wait_s=wait_s)
         if status == 410:
-            raise LogGap(_whole(_object(answer), "first"))
-        _check(status)
-        return answer
+            raise LogGap(_parse_int_field(_parse_json_object(data), "first"))
+        _check_status(status)
+        return data
 
     async def _call(
         self, method: str, path: str, body: bytes | None = None, *, wait_s: float = 0.0
     ) -> tuple[int, bytes]:
         try:
             async with (
-                asyncio.timeout(self._whole_s + wait_s),
-                asyncio.timeout(self._timeout_s + wait_s) as silence,
-                self._session.request(method, self._base + path, data=body) as answer,
+                asyncio.timeout(self._max_response_s + wait_s),
+                asyncio.timeout(self._timeout_s + wait_s) as idle,
+                self._session.request(method, self._base + path, data=body) as response,
             ):
-                return answer.status, await self._read_on(answer, silence)
+                return response.status, await self._read_body(response, idle)
         except aiohttp.ClientConnectorError as error:
             raise StoreRefused(0) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise StoreUnanswered(f"store: {error!r}; the call may be done later") from error
+            raise StoreUnanswered(f"store: {error!r}; the call may still take effect") from error
 
-    async def _read_on(self, answer: aiohttp.ClientResponse, silence: asyncio.Timeout) -> bytes:
+    async def _read_body(self, response: aiohttp.ClientResponse, idle: asyncio.Timeout) -> bytes:
         loop = asyncio.get_running_loop()
         parts: list[bytes] = []
-        silence.reschedule(loop.time() + self._timeout_s)
-        async for part in answer.content.iter_any():
+        idle.reschedule(loop.time() + self._timeout_s)
+        async for part in response.content.iter_any():
             parts.append(part)
-            silence.reschedule(loop.time() + self._timeout_s)
+            idle.reschedule(loop.time() + self._timeout_s)
         return b"".join(parts)
 
 
-def _place(partition: Partition) -> str:
+def _partition_query(partition: Partition) -> str:
     prefix = "keyed." if partition.keyed else ""
     return f"topic={prefix}{partition.topic}&part={partition.number}"
 
 
-def _frame(partition: Partition, record: Record) -> bytes:
+def _encode_record(partition: Partition, record: Record) -> bytes:
     body = record.value
     if partition.keyed:
         body = bytes((len(record.key),)) + record.key + body
-    return _LENGTH.pack(len(body)) + body
+    return _RECORD_LENGTH.pack(len(body)) + body
 
 
-def _page(partition: Partition, start: int, answer: bytes) -> Page:
+def _parse_page(partition: Partition, start: int, data: bytes) -> Page:
     try:
-        return _records(partition, start, answer)
+        return _parse_records(partition, start, data)
     except (StructError, IndexError, ValueError) as error:
-        raise StoreUnanswered(f"store sent a cut page ({error}); read again") from error
+        raise StoreUnanswered(f"store sent a truncated page ({error}); read again") from error
 
 
-def _end(answer: bytes) -> int:
+def _parse_end(data: bytes) -> int:
     try:
-        end, _first = _READ_HEAD.unpack_from(answer)
+        end, _first = _PAGE_HEADER.unpack_from(data)
     except StructError as error:
-        raise StoreUnanswered(f"store sent a cut page ({error}); read again") from error
+        raise StoreUnanswered(f"store sent a truncated page ({error}); read again") from error
     return int(end)
 
 
-def _records(partition: Partition, start: int, answer: bytes) -> Page:
-    end, first = _READ_HEAD.unpack_from(answer)
-    position = _READ_HEAD.size
+def _parse_records(partition: Partition, start: int, data: bytes) -> Page:
+    end, first = _PAGE_HEADER.unpack_from(data)
+    position = _PAGE_HEADER.size
     offset = max(start, first)
     entries = []
-    while position < len(answer):
-        (size,) = _LENGTH.unpack_from(answer, position)
-        position += _LENGTH.size
-        body = answer[position : position + size]
+    while position < len(data):
+        (size,) = _RECORD_LENGTH.unpack_from(data, position)
+        position += _RECORD_LENGTH.size
+        body = data[position : position + size]
         if len(body) < size:
-            raise ValueError("last record is not whole")
-        entries.append(_entry(partition, offset, body))
+            raise ValueError("last record is truncated")
+        entries.append(_parse_entry(partition, offset, body))
         position += size
         offset += 1
     return Page(tuple(entries), end)
 
 
-def _entry(partition: Partition, offset: int, body: bytes) -> Entry:
+def _parse_entry(partition: Partition, offset: int, body: bytes) -> Entry:
     if not partition.keyed:
         return Entry(offset, body)
     size = body[0] + 1
     if len(body) < size:
-        raise ValueError("key is not whole")
+        raise ValueError("key is truncated")
     return Entry(offset, body[size:], body[1:size])
 
 
-def _newest_entry(row: dict[str, Any]) -> Entry:
-    # "privateKey" is nothing secret: it is the record's key.
+def _parse_newest_entry(row: dict[str, Any]) -> Entry:
+    # "privateKey" is the wire name of the record's key; it is not a secret.
     value = b64decode(parse_text(row.get("value") or ""))
     return Entry(parse_int(row["offset"]), value, parse_text(row["privateKey"]).encode())
 
 
-def _key_page(answer: bytes) -> KeyPage:
-    fields = _object(answer)
+def _parse_key_page(data: bytes) -> KeyPage:
+    fields = _parse_json_object(data)
     try:
-        entries = tuple(_newest_entry(parse_object(row)) for row in parse_list(fields.get("items")))
+        entries = tuple(
+            _parse_newest_entry(parse_object(row)) for row in parse_list(fields.get("items"))
+        )
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreUnanswered(f"store sent no page of keys ({error!r}); read again") from error
-    return KeyPage(entries, _whole(fields, "end"), bool(entries and fields.get("more")))
+        raise StoreUnanswered(
+            f"store sent an invalid page of keys ({error!r}); read again"
+        ) from error
+    return KeyPage(entries, _parse_int_field(fields, "end"), bool(entries and fields.get("more")))
 
 
-def _appended(status: int, answer: bytes) -> Appended:
-    """Return the outcome of an append; what is done is not told where it cannot be read."""
+def _parse_append_result(status: int, data: bytes) -> Appended:
+    """Return the result of an append, or raise the error that the response stands for.
+
+    Where the response cannot be parsed, the append may or may not have taken effect.
+    """
     if status < 400:
-        fields = _object(answer)
-        return Appended(_whole(fields, "offset"), _whole(fields, "end"))
+        fields = _parse_json_object(data)
+        return Appended(_parse_int_field(fields, "offset"), _parse_int_field(fields, "end"))
     if status == 412:
-        raise OffsetConflict(_told(answer, "end"))
+        raise OffsetConflict(_optional_int_field(data, "end"))
     if status == 409:
-        raise _producer_error(answer)
-    _check(status)
-    raise StoreUnanswered(f"store answered {status}; the call may not be understood")
+        raise _parse_producer_error(data)
+    _check_status(status)
+    raise StoreUnanswered(f"store answered {status}; it may not understand the call")
 
 
-def _whole(fields: dict[str, Any], name: str) -> int:
+def _parse_int_field(fields: dict[str, Any], name: str) -> int:
     try:
         return parse_int(fields[name])
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreUnanswered(f"store sent no {name} ({error!r}); call again") from error
+        raise StoreUnanswered(f"store sent no valid {name} ({error!r}); call again") from error
 
 
-def _told(answer: bytes, name: str) -> int:
-    """Return a number beside a status that says all by itself, 0 where it is not told."""
+def _optional_int_field(data: bytes, name: str) -> int:
+    """Return an optional number of an error response, 0 where it is missing or invalid."""
     try:
-        return _whole(_object(answer), name)
+        return _parse_int_field(_parse_json_object(data), name)
     except StoreUnanswered:
         return 0
 
 
-def _object(answer: bytes) -> dict[str, Any]:
+def _parse_json_object(data: bytes) -> dict[str, Any]:
     try:
-        value = orjson.loads(answer or b"{}")
+        value = orjson.loads(data or b"{}")
     except orjson.JSONDecodeError as error:
-        raise StoreUnanswered(f"store sent no JSON ({error}); call again") from error
+        raise StoreUnanswered(f"store sent invalid JSON ({error}); call again") from error
     return value if isinstance(value, dict) else {}
 
 
-def _producer_error(answer: bytes) -> ProducerFenced | ProducerGap:
-    # The status alone does not say which of both it is.
-    if _object(answer).get("reason") == "fenced":
-        return ProducerFenced(_told(answer, "epoch"))
-    return ProducerGap(_told(answer, "callSeq") or _told(answer, "wanted"))
+def _parse_producer_error(data: bytes) -> ProducerFenced | ProducerGap:
+    # Status 409 stands for both errors; the reason distinguishes them.
+    if _parse_json_object(data).get("reason") == "fenced":
+        return ProducerFenced(_optional_int_field(data, "epoch"))
+    return ProducerGap(_optional_int_field(data, "callSeq") or _optional_int_field(data, "wanted"))
 
 
-def _check(status: int) -> None:
-    if status in _NOTHING_DONE:
+def _check_status(status: int) -> None:
+    if status in _NOT_EXECUTED_STATUSES:
         raise StoreRefused(status)
     if status >= 400:
-        raise StoreUnanswered(f"store answered {status}; the call may not be understood")
+        raise StoreUnanswered(f"store answered {status}; it may not understand the call")
--- a/tests/fuzz/test_store_answers.py
+++ b/tests/fuzz/test_store_answers.py
@@ -40,7 +40,7 @@
         body += struct.pack(">I", len(record)) + record
     sent = body[:cut] + tail if cut < len(body) else body + tail
     try:
-        page = store._page(KEYED, 0, sent)
+        page = store._parse_page(KEYED, 0, sent)
     except LinkspanError:
         return
     if sent == body:
@@ -52,7 +52,7 @@
     record = bytes((9,)) + b"key"
     body = struct.pack(">QQ", 1, 0) + struct.pack(">I", len(record)) + record
     with pytest.raises(LinkspanError):
-        store._page(KEYED, 0, body)
+        store._parse_page(KEYED, 0, body)
 
 
 @settings(max_examples=EXAMPLES)
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -134,7 +134,7 @@
             await asyncio.sleep(0.02)
 
     async with serving(handle) as address, aiohttp.ClientSession() as session:
-        client = StoreClient(session, address, timeout_s=0.2, whole_s=0.5)
+        client = StoreClient(session, address, timeout_s=0.2, max_response_s=0.5)
         began = time.monotonic()
         with pytest.raises(StoreUnanswered):
             await client.read(PLAIN, 0)
