--- a/src/linkspan/model/__init__.py
+++ b/src/linkspan/model/__init__.py
@@ -1,1 +1,1 @@
-"""Plain values that the other packages share."""
+"""Data types that the other packages share."""
--- a/src/linkspan/model/configuration.py
+++ b/src/linkspan/model/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in force: queues and services."""
+"""The operator's configuration: queues and the services that run their jobs."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceRule:
-    """A queue's placement policy, asked from a service.
+    """A queue's placement policy: its placements need tickets from the policy service.
 
     Attributes:
-        valid_s: How long a ticket holds.
+        valid_s: Time for which a ticket is valid, in seconds.
     """
 
     valid_s: float
@@ -18,15 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTerms:
-    """What a job is accepted under; it holds until a configuration names the job's queue again.
+    """The properties of a queue that apply to a job from its acceptance.
+
+    They stay in force when the queue is removed, until a configuration contains it again.
 
     Attributes:
-        service: Service whose executors run its tasks.
-        max_attempts: Failed runs of a task after which its job has failed.
-        priority: 0 goes first and may preempt others.
-        stretch: Factor on a job's longest chain of work in its objective.
-        target_s: Time beside that in the objective.
-        advice: The queue's placement policy, ``None`` without one.
+        service: Service whose executors run the tasks.
+        max_attempts: Number of failed runs of a task at which its job fails.
+        priority: 0 is the highest and may preempt others.
+        stretch: Factor on the duration of the job's longest path in its latency objective.
+        target_s: Time that the latency objective adds to it, in seconds.
+        advice: The queue's placement policy, ``None`` if it has none.
     """
 
     service: str
@@ -42,16 +44,16 @@
     """A queue of jobs.
 
     Attributes:
-        name: Its name.
-        host: Host name that callers use.
-        prefix: Beginning of the paths that belong to it.
-        service: Service whose executors run its tasks.
-        priority: 0 goes first and may preempt others.
-        max_attempts: Failed runs of a task after which its job has failed.
-        stretch: Factor on a job's longest chain of work in its objective.
-        target_s: Time beside that in the objective.
-        timeout_s: Time that callers wait for an answer.
-        advice: Its placement policy, ``None`` without one.
+        name: Name of the queue.
+        host: Host name in callers' requests.
+        prefix: Path prefix of the requests that belong to the queue.
+        service: Service whose executors run the tasks.
+        priority: 0 is the highest and may preempt others.
+        max_attempts: Number of failed runs of a task at which its job fails.
+        stretch: Factor on the duration of the job's longest path in its latency objective.
+        target_s: Time that the latency objective adds to it, in seconds.
+        timeout_s: Time for which callers wait for a response, in seconds.
+        advice: The queue's placement policy, ``None`` if it has none.
     """
 
     name: str
@@ -67,7 +69,7 @@
 
     @property
     def terms(self) -> QueueTerms:
-        """What jobs are accepted under."""
+        """The properties that apply to a job from its acceptance."""
         return QueueTerms(
             self.service,
             self.max_attempts,
@@ -83,9 +85,9 @@
     """A pool of executors.
 
     Attributes:
-        name: Its name.
-        guards_room: Whether its executors reject what does not fit.
-        spare: Whether its machines are off until they are moved to another pool.
+        name: Name of the service.
+        guards_room: Whether the executors reject starts that exceed their capacity.
+        spare: Whether the machines are off until they are moved to another pool.
     """
 
     name: str
@@ -95,13 +97,13 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
     Attributes:
-        version: Its version; versions rise.
+        version: Version number; every change increases it.
         queues: Queues by name.
         services: Services by name.
-        max_body_bytes: Largest body that callers may send.
+        max_body_bytes: Maximum size of a request body.
     """
 
     version: int
@@ -110,7 +112,7 @@
     max_body_bytes: int = 262_144
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path, or ``None``."""
+        """Return the queue whose prefix is the longest match for a path, or ``None``."""
         best: Queue | None = None
         for queue in self._by_host.get(host.lower(), ()):
             if path.startswith(queue.prefix) and (
--- a/src/linkspan/model/job.py
+++ b/src/linkspan/model/job.py
@@ -1,4 +1,4 @@
-"""Jobs as callers describe them."""
+"""Jobs as callers submit them, and the ids of their tasks and attempts."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Priority(IntEnum):
-    """Classes of work, most important first.
+    """Priority classes, most important first.
 
-    ``SERVICE`` and ``WATCHER`` tasks run until cancelled; the others end.
+    ``SERVICE`` and ``WATCHER`` tasks run until cancelled; the others end by themselves.
     """
 
     SERVICE = 0
@@ -22,14 +22,14 @@
 
 
 class TaskId(NamedTuple):
-    """A task within one hall's ledger: the job's ledger number and an index."""
+    """Identifies a task within one hall's ledger by the job's ledger number and an index."""
 
     job: int
     index: int  # type: ignore[assignment]
 
 
 class AttemptId(NamedTuple):
-    """One attempt at running a task; attempts count from 1."""
+    """Identifies one attempt to run a task; attempts count from 1."""
 
     job: int
     index: int  # type: ignore[assignment]
@@ -37,26 +37,26 @@
 
     @property
     def task(self) -> TaskId:
-        """The task that this is an attempt of."""
+        """The task that the attempt runs."""
         return TaskId(self.job, self.index)
 
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as submitted: ``count`` like tasks under the caller's own id.
+    """A job as submitted: ``count`` identical tasks under an id that the caller chose.
 
     Attributes:
-        job_id: The caller's id; the same id twice is one job.
+        job_id: The caller's id; submissions with the same id are one job.
         customer: Customer that the job belongs to.
         team: Team whose quota it counts against.
-        kind: Kind of work, the unit for which usage and interference are learnt.
+        kind: Kind of work; usage and interference are estimated per kind.
         count: Number of tasks.
-        size: Declared need of each task.
-        priority: Class of work.
-        repeatable: Whether a task whose end is not known may be run again.
+        size: Declared resources of each task.
+        priority: Priority class.
+        repeatable: Whether a task may run again when its outcome is unknown.
         labels: Labels that selectors match.
-        selector: Which workers may run it, in the selector language.
-        run_s: Declared run time in seconds, 0 when not declared.
+        selector: Selector of the workers that may run the job.
+        run_s: Declared duration in seconds, 0 when not declared.
     """
 
     job_id: str
@@ -73,5 +73,5 @@
 
     @property
     def restarts(self) -> bool:
-        """Whether an ended task is started again (services and watchers)."""
+        """Whether a task is started again after its end (services and watchers)."""
         return self.priority in (Priority.SERVICE, Priority.WATCHER)
--- a/src/linkspan/model/resources.py
+++ b/src/linkspan/model/resources.py
@@ -1,4 +1,4 @@
-"""What a worker has and a task needs."""
+"""Amounts of resources that workers have and tasks need."""
 
 from __future__ import annotations
 
@@ -39,19 +39,19 @@
         )
 
     def times(self, count: int) -> Resources:
-        """Return this amount ``count`` times over."""
+        """Return this amount multiplied by ``count``."""
         return Resources(self.milli_cpu * count, self.memory_mb * count, self.accelerators * count)
 
-    def fits_within(self, room: Resources) -> bool:
-        """Return whether this amount is within ``room`` in every dimension."""
+    def fits_within(self, available: Resources) -> bool:
+        """Return whether this amount is at most ``available`` in every dimension."""
         return (
-            self.milli_cpu <= room.milli_cpu
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.milli_cpu <= available.milli_cpu
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
     def elementwise_max(self, other: Resources) -> Resources:
-        """Return the larger of the two in each dimension."""
+        """Return the larger of both amounts in each dimension."""
         return Resources(
             max(self.milli_cpu, other.milli_cpu),
             max(self.memory_mb, other.memory_mb),
--- a/src/linkspan/model/settings.py
+++ b/src/linkspan/model/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host daemon, as the product names them."""
+"""Settings of a host daemon under the names that this project uses."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What the store bears.
+    """Address and rate limits of the store.
 
     Attributes:
         address: ``ip:port`` of the store.
-        writes_per_s: Writing calls a second, of all hosts together.
-        reads_per_s: Reading calls a second, of all hosts together.
+        writes_per_s: Maximum write calls per second, for all hosts together.
+        reads_per_s: Maximum read calls per second, for all hosts together.
     """
 
     address: str
@@ -22,21 +22,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the deployment grants, in seconds.
+    """Time limits and factors that the deployment specifies; times are in seconds.
 
     Attributes:
-        max_lease_s: Longest lease that executors take.
-        stop_s: Longest time that a stop takes.
-        drain_s: Time in which a draining executor must get no new work.
+        max_lease_s: Longest lease that executors accept.
+        stop_s: Longest time that a stop takes to take effect.
+        drain_s: Time within which a draining executor must stop getting new work.
         grace_s: Time between SIGTERM and SIGKILL.
-        gang_s: Time that a gang's member waits for the others.
-        visible_s: Time in which an accepted job is to be seen on every host.
-        state_kept_s: Time for which a finished job's state is to be shown.
-        freeze_s: Stand-still after which a host must prove its ownership again.
-        early_s: How much before its due time a repetition may start.
-        harm_s: Time after which a disturbed standing task counts as harmed.
-        far_factor: How much longer a task takes away from its data.
-        holder_lease_s: Time for which one holder's orders to a machine exclude others'.
+        gang_s: Time for which a member of a gang waits for the others.
+        visible_s: Time within which an accepted job must be visible on every host.
+        state_kept_s: Time for which a finished job's state must stay available.
+        freeze_s: Length of a freeze after which a host must prove its ownership again.
+        early_s: How long before its scheduled time a repetition may start.
+        harm_s: Time over its latency target after which a standing task counts as harmed.
+        far_factor: Factor on the duration of a task that runs away from its data.
+        holder_lease_s: Time for which one holder's orders to a machine exclude all other holders.
     """
 
     max_lease_s: float = 10.0
@@ -58,19 +58,19 @@
     """Settings of one host daemon.
 
     Attributes:
-        name: The host's name, kept over restarts.
-        hall: Its hall.
-        halls: All halls in order; the place of a hall is its shard's number.
-        callers: ``ip:port`` where callers are served.
-        readiness: ``ip:port`` where the balancer asks for readiness.
-        store: The platform's store.
-        advice: ``ip:port`` of the placement policy's service, empty without one.
-        machines: ``ip:port`` of the machine service, empty without one.
-        bounds: Times that the deployment grants.
-        executor_heartbeat_s: How often executors register themselves.
-        memory_mb: Memory that the process may use.
-        peer_ports: First and last port free for talk between hosts.
-        ip: The host's address.
+        name: The host's name, which is the same after a restart.
+        hall: The host's hall.
+        halls: All halls in order; the index of a hall is the number of its shard.
+        callers: ``ip:port`` of the listener for callers.
+        readiness: ``ip:port`` of the readiness endpoint for the load balancer.
+        store: Address and rate limits of the platform's store.
+        advice: ``ip:port`` of the policy service, empty if there is none.
+        machines: ``ip:port`` of the machine service, empty if there is none.
+        bounds: Time limits and factors that the deployment specifies.
+        executor_heartbeat_s: Interval at which executors register themselves.
+        memory_mb: Memory limit of the process.
+        peer_ports: First and last port reserved for connections between hosts.
+        ip: The host's IP address.
     """
 
     name: str
@@ -89,5 +89,5 @@
 
     @property
     def shard(self) -> int:
-        """Number of the shard of this host's hall."""
+        """Number of the shard that belongs to the host's hall."""
         return self.halls.index(self.hall)
--- a/src/linkspan/model/worker.py
+++ b/src/linkspan/model/worker.py
@@ -1,4 +1,4 @@
-"""Workers as the platform describes them."""
+"""Description of a worker machine."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
     Attributes:
         name: The worker's name, unique in its hall.
-        incarnation: Changes whenever the worker restarts without its memory.
-        size: What tasks on it may use together.
-        rack: The rack it stands in.
+        incarnation: Number that changes whenever the worker restarts and loses its state.
+        size: Resources that all tasks on the worker may use together.
+        rack: The worker's rack.
         labels: Labels that selectors match.
     """
 
