--- a/src/linkspan/config/document.py
+++ b/src/linkspan/config/document.py
@@ -1,4 +1,4 @@
-"""The configuration document and the typed values that it stands for."""
+"""The configuration document and parsers for its values."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 """Values by key, such as ``services/finder-api`` or ``quotas/maps``."""
 
 SECTIONS = ("services", "labels", "company", "quotas", "placement", "routing", "halls")
-"""What the part of a key before the first slash may be."""
+"""Valid first parts of a key, up to the first slash."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,17 +24,17 @@
     """A service that gateways route to.
 
     Attributes:
-        name: The service.
-        customer: The customer that it belongs to.
-        deadline_ms: Deadline of requests that name none.
-        max_deadline_ms: Longest deadline that a request may ask for.
-        slots: Requests that an executor serves at once.
-        connections: Connections that an executor takes.
-        queue: Requests that may wait at one gateway.
-        replicas: Tasks that the system is to run over all halls, 0 when the
-            platform runs the service's executors itself.
-        size: What each of these tasks needs.
-        selector: Which workers may run them.
+        name: Name of the service.
+        customer: Customer that the service belongs to.
+        deadline_ms: Deadline of requests that specify none.
+        max_deadline_ms: Longest deadline that a request may specify.
+        slots: Requests that an executor serves concurrently.
+        connections: Connections that an executor accepts.
+        queue: Requests that may be queued at one gateway.
+        replicas: Tasks to run across all halls, 0 when the platform runs the
+            service's executors itself.
+        size: Resources that each replica needs.
+        selector: Selector of the workers that may run replicas.
         labels: Labels that selectors match.
     """
 
@@ -53,29 +53,34 @@
 
 @dataclass(frozen=True, slots=True)
 class AntiAffinityRule:
-    """Work matching ``work`` never shares a worker with ``never_with``."""
+    """Keeps tasks that match two selectors off the same worker.
+
+    Attributes:
+        work: Selector of the tasks that the rule is about.
+        never_with: Selector of the tasks that must not share a worker with them.
+    """
 
     work: str
     never_with: str
 
 
 SERVICE_FIELDS = tuple(f.name for f in dataclass_fields(ServiceConfig) if f.name != "name")
-"""Fields of a ``services/`` value."""
+"""Valid fields of a ``services/`` value."""
 
 
 def service_of(name: str, value: Any) -> ServiceConfig:
     """Return the service that a ``services/`` value describes.
 
     Raises:
-        InvalidInput: The value does not describe one.
+        InvalidInput: The value is invalid.
     """
     path = f"services/{name}"
     fields = as_object(path, value)
     no_others(path, fields, SERVICE_FIELDS)
     customer = as_text(f"services/{name}/customer", fields.get("customer", None))
     numbers = {
-        key: as_number(f"services/{name}/{key}", fields.get(key, default), 1, most)
-        for key, default, most in (
+        key: as_number(f"services/{name}/{key}", fields.get(key, default), 1, maximum)
+        for key, default, maximum in (
             ("deadline_ms", 1_000, 3_600_000),
             ("max_deadline_ms", 30_000, 3_600_000),
             ("slots", 8, 10_000),
@@ -86,7 +91,7 @@
     replicas = as_number(f"{path}/replicas", fields.get("replicas", 0), 0, 10_000)
     size = resources_of(f"{path}/size", fields.get("size", {}))
     if replicas and not (size.milli_cpu and size.memory_mb):
-        raise InvalidInput(f"{path}/size", "no size for replicas", "give milli_cpu and memory_mb")
+        raise InvalidInput(f"{path}/size", "replicas need a size", "give milli_cpu and memory_mb")
     selector = fields.get("selector", "")
     parse_selector(as_text(f"{path}/selector", selector or "any"))
     labels = labels_of(f"{path}/labels", fields.get("labels", {}))
@@ -99,7 +104,7 @@
     """Return the resources that a ``quotas/`` value describes.
 
     Raises:
-        InvalidInput: The value does not describe any.
+        InvalidInput: The value is invalid.
     """
     return resources_of(f"quotas/{team}", value)
 
@@ -108,7 +113,7 @@
     """Return the resources that a mapping describes.
 
     Raises:
-        InvalidInput: The value does not describe any.
+        InvalidInput: The value is invalid.
     """
     fields = as_object(path, value)
     no_others(path, fields, Resources._fields)
@@ -123,7 +128,7 @@
     """Return the labels that a mapping describes.
 
     Raises:
-        InvalidInput: A key or value is no text.
+        InvalidInput: A key or value is not a text.
     """
     fields = as_object(path, value)
     return {as_text(path, key): as_text(f"{path}/{key}", text) for key, text in fields.items()}
@@ -133,7 +138,7 @@
     """Return the rule that a ``company/`` value describes.
 
     Raises:
-        InvalidInput: The value does not describe one.
+        InvalidInput: The value is invalid.
     """
     path = f"company/{name}"
     fields = as_object(path, value)
--- a/src/linkspan/config/store.py
+++ b/src/linkspan/config/store.py
@@ -1,4 +1,7 @@
-"""Versions of the configuration: the fold over the operators' stream."""
+"""The versioned configuration, computed from the records of the operators' stream.
+
+Every host applies the same records in the same order, so all reach the same versions.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,24 @@
     from linkspan.config.document import Document
 
 CONFIG_STREAM = "config"
-"""Name of the stream on the platform's log."""
+"""Name of the stream in the platform's log."""
 
-VERDICTS_KEPT = 1_024
-"""Verdicts on changes that are remembered for those who ask."""
+MAX_REMEMBERED_RESULTS = 1_024
+"""Maximum number of change results kept for :meth:`ConfigStore.result_of`."""
 
-IDS_KEPT = 256
-"""Accepted changes whose ids are part of the state, so that none is made twice."""
+MAX_REMEMBERED_CHANGE_IDS = 256
+"""Maximum number of accepted changes whose ids are part of the state, so that a repeated change
+is not applied twice."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change that an operator offers.
+    """A change that an operator submits.
 
     Attributes:
-        change_id: The operator's own id; the same id twice is one change.
-        base: Version that it was made on.
-        author: Who made it.
+        change_id: The operator's id; submissions with the same id are one change.
+        base: Version that the change is based on.
+        author: Author of the change.
         values: New values by key.
         deleted: Keys to remove.
     """
@@ -44,19 +48,19 @@
 
     @property
     def touched(self) -> frozenset[str]:
-        """The keys that it sets or removes."""
+        """The keys that the change sets or removes."""
         return frozenset(self.values).union(self.deleted)
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """What became of a change.
+    """The result of applying a change.
 
     Attributes:
-        accepted: Whether it is in force from ``version`` on.
-        version: The version that it made, or the one that it met.
-        reason: Why it was refused.
-        conflicts: Keys that somebody else changed after its base.
+        accepted: Whether the change is in force from ``version`` on.
+        version: The version that the change created, or the version in force when it was refused.
+        reason: Why the change was refused.
+        conflicts: Keys that another change has set or removed since the base version.
     """
 
     accepted: bool
@@ -70,11 +74,11 @@
     """A version of the configuration.
 
     Attributes:
-        version: One more than the offset of the record that made it, so that
-            versions only grow; 0 before the first.
+        version: One more than the offset of the record that created the version, so
+            that versions only increase; 0 before the first.
         document: The values by key.
-        key_versions: The version that last changed each key, removed ones too.
-        recent: The version that each of the latest accepted changes made, by id.
+        key_versions: The version that last changed each key, including removed keys.
+        recent: The version that each of the latest accepted changes created, by change id.
     """
 
     version: int = 0
@@ -84,15 +88,15 @@
 
 
 class ConfigStore:
-    """The configuration in force, which never goes back.
+    """The configuration in force, whose version never decreases.
 
-    It moves on by records of the stream, and by states that peers or snapshot
-    records give; a state older than the one in force is left out.
+    Records of the stream and complete states from peers or snapshot records update it; a state
+    that is not newer than the one in force is ignored.
     """
 
     def __init__(self) -> None:
         self._state = ConfigState()
-        self._verdicts: dict[str, ChangeResult] = {}
+        self._results: dict[str, ChangeResult] = {}
         self.next_offset = 0
 
     def __repr__(self) -> str:
@@ -109,14 +113,14 @@
         return self._state.version
 
     def result_of(self, change_id: str) -> ChangeResult | None:
-        """Return what became of a change, None when that is not known here."""
-        return self._verdicts.get(change_id)
+        """Return the result of a change, or None if it is unknown here."""
+        return self._results.get(change_id)
 
     def adopt(self, state: ConfigState) -> bool:
-        """Take over a state from a peer or snapshot if it is newer.
+        """Replace the state by one from a peer or snapshot if that is newer.
 
         Returns:
-            Whether it was newer.
+            Whether the given state was newer.
         """
         if state.version <= self.version:
             return False
@@ -125,10 +129,10 @@
         return True
 
     def apply(self, offset: int, body: bytes) -> ChangeResult | None:
-        """Fold in the record at ``offset``.
+        """Apply the record at ``offset``.
 
         Returns:
-            The verdict on the change, None for anything else.
+            The result of the change, None if the record holds no new change.
         """
         if offset < self.next_offset:
             return None
@@ -140,11 +144,11 @@
         if isinstance(record, ConfigState):
             self.adopt(record)
             return None
-        verdict = self._decide(offset, record)
-        self._verdicts[record.change_id] = verdict
-        while len(self._verdicts) > VERDICTS_KEPT:
-            del self._verdicts[next(iter(self._verdicts))]
-        return verdict
+        result = self._decide(offset, record)
+        self._results[record.change_id] = result
+        while len(self._results) > MAX_REMEMBERED_RESULTS:
+            del self._results[next(iter(self._results))]
+        return result
 
     def _decide(self, offset: int, change: Change) -> ChangeResult:
         state = self._state
@@ -152,7 +156,9 @@
             return ChangeResult(True, state.recent[change.change_id])
         conflicts = sorted(k for k in change.touched if state.key_versions.get(k, 0) > change.base)
         if conflicts:
-            reason = f"changed since version {change.base}; read them and offer it again"
+            reason = (
+                f"changed since version {change.base}; read these keys and submit the change again"
+            )
             return ChangeResult(False, self.version, reason, tuple(conflicts))
         document = merged(state.document, change)
         errors = errors_in(document)
@@ -161,14 +167,14 @@
         version = offset + 1
         key_versions = {**state.key_versions, **dict.fromkeys(change.touched, version)}
         recent = {**state.recent, change.change_id: version}
-        if len(recent) > IDS_KEPT:
+        if len(recent) > MAX_REMEMBERED_CHANGE_IDS:
             del recent[next(iter(recent))]
         self._state = ConfigState(version, MappingProxyType(document), key_versions, recent)
         return ChangeResult(True, version)
 
 
 def merged(document: Document, change: Change) -> dict[str, Any]:
-    """Return the document with the change made to it."""
+    """Return a copy of the document with the change applied."""
     values = {**document, **change.values}
     for key in change.deleted:
         values.pop(key, None)
@@ -176,12 +182,12 @@
 
 
 def encode_change(change: Change) -> bytes:
-    """Return a change's bytes on the log."""
+    """Encode a change as a record of the log."""
     return orjson.dumps({"change": change})
 
 
 def encode_state(state: ConfigState) -> bytes:
-    """Return a state's bytes, for peers and for snapshots on the log."""
+    """Encode a state for peers and for snapshot records of the log."""
     return orjson.dumps(
         {
             "state": {
@@ -195,10 +201,10 @@
 
 
 def decode_config(body: bytes) -> Change | ConfigState:
-    """Return what a record of the configuration stream holds.
+    """Decode a record of the configuration stream.
 
     Raises:
-        RecordError: It holds neither a change nor a state.
+        RecordError: The record holds neither a change nor a state.
     """
     try:
         fields = orjson.loads(body)
--- a/src/linkspan/config/validate.py
+++ b/src/linkspan/config/validate.py
@@ -1,4 +1,4 @@
-"""Checks of a whole configuration document."""
+"""Validation of a complete configuration document."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from linkspan.config.document import Document
 
 MAX_KEYS = 20_000
-"""Most keys of a document."""
+"""Maximum number of keys of a document."""
 
 
 class Finding(NamedTuple):
-    """Something that is wrong, or probably not meant, in a document.
+    """An error or a probable mistake in a document.
 
     Attributes:
-        key: The key at fault.
-        text: What is wrong and what to do.
-        is_error: Whether the document is refused for it.
+        key: The key that the finding is about.
+        text: Description of the problem and its remedy.
+        is_error: Whether the document is refused because of the finding.
     """
 
     key: str
@@ -35,14 +35,17 @@
 
 
 def validate(document: Document) -> list[Finding]:
-    """Return all findings in a document; it depends on nothing but the document."""
+    """Return all findings in a document.
+
+    The result depends on the document alone, so every host comes to the same one.
+    """
     if len(document) > MAX_KEYS:
-        return [Finding("", f"{len(document)} keys; keep it to {MAX_KEYS}", True)]
+        return [Finding("", f"{len(document)} keys; use at most {MAX_KEYS}", True)]
     return [finding for key, value in document.items() for finding in _check(key, value)]
 
 
 def errors_in(document: Document) -> list[Finding]:
-    """Return the findings for which the document is refused."""
+    """Return the findings because of which the document is refused."""
     return [finding for finding in validate(document) if finding.is_error]
 
 
@@ -63,7 +66,7 @@
 def _check_service(name: str, value: Any) -> Iterator[Finding]:
     service = service_of(name, value)
     if service.deadline_ms > service.max_deadline_ms:
-        text = "deadline_ms is over max_deadline_ms; raise the one or lower the other"
+        text = "deadline_ms exceeds max_deadline_ms; lower deadline_ms or raise max_deadline_ms"
         yield Finding(f"services/{name}", text, True)
 
 
@@ -72,19 +75,21 @@
     yield from ()
 
 
-def _check_company(name: str, value: Any) -> Iterator[Finding]:
+def _check_anti_affinity(name: str, value: Any) -> Iterator[Finding]:
     rule = anti_affinity_of(name, value)
     for text in (rule.work, rule.never_with):
         key = parse_selector(text).contradiction()
         if key:
-            problem = f"selector {text!r} can match nothing, label {key!r} contradicts itself"
+            problem = f"selector {text!r} never matches: its conditions on label {key!r} conflict"
             yield Finding(f"company/{name}", f"{problem}; remove one condition", False)
 
 
 def _check_quota(name: str, value: Any) -> Iterator[Finding]:
     quota = quota_of(name, value)
     if not quota.milli_cpu or not quota.memory_mb:
-        text = "no processors or no memory: the team can run nothing; raise it or delete the key"
+        text = (
+            "the quota lacks processors or memory, so the team can run nothing; raise or delete it"
+        )
         yield Finding(f"quotas/{name}", text, False)
 
 
@@ -106,7 +111,7 @@
 _CHECKS: dict[str, Callable[[str, Any], Iterator[Finding]]] = {
     "services": _check_service,
     "labels": _check_labels,
-    "company": _check_company,
+    "company": _check_anti_affinity,
     "quotas": _check_quota,
     "placement": _check_placement,
     "routing": _check_routing,
--- a/tests/config/test_store.py
+++ b/tests/config/test_store.py
@@ -26,7 +26,7 @@
     store = ConfigStore()
     assert store.apply(0, _change("a", 0, "quotas/maps")) == ChangeResult(True, 1)
     lost = store.apply(1, _change("b", 0, "quotas/maps", "quotas/feeds"))
-    reason = "changed since version 0; read them and offer it again"
+    reason = "changed since version 0; read these keys and submit the change again"
     assert lost == ChangeResult(False, 1, reason, ("quotas/maps",))
     assert "quotas/feeds" not in store.state.document
 
--- a/tests/gateway/test_requests_in.py
+++ b/tests/gateway/test_requests_in.py
@@ -92,11 +92,16 @@
 
 
 FINDINGS = [
-    ("company/a", {"work": "tier=a and tier=b", "never_with": "x"}, "contradicts itself", False),
+    (
+        "company/a",
+        {"work": "tier=a and tier=b", "never_with": "x"},
+        "conditions on label 'tier' conflict",
+        False,
+    ),
     ("company/a", {"work": "tier=", "never_with": "x"}, "at position 5", True),
     ("quotas/t", {"milli_cpu": 0}, "the team can run nothing", False),
     ("quotas/t", {"milli_cpu": -1}, "give a whole number from 0", True),
-    ("services/a", {"customer": "c", "deadline_ms": 99_999}, "raise the one", True),
+    ("services/a", {"customer": "c", "deadline_ms": 99_999}, "or raise max_deadline_ms", True),
     ("services/a", {"customer": "c", "replicas": 2}, "give milli_cpu and memory_mb", True),
     ("placement/c", "magic", "use one of", True),
     ("routing/a", "magic", "use one of", True),
