--- a/src/linkspan/runtime/__init__.py
+++ b/src/linkspan/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What both daemons are made of: tasks that own their sockets and state."""
+"""Infrastructure that the gateway and the scheduler daemon share."""
--- a/src/linkspan/runtime/log_tail.py
+++ b/src/linkspan/runtime/log_tail.py
@@ -1,4 +1,4 @@
-"""Readings of a log stream's end."""
+"""Reads new records at the end of a log stream."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
     from linkspan.events import EventLog
     from linkspan.services.ports import LogPage, LogPort
 
-LOG_WAIT_S = 2.0
-"""How long a reading of the log waits for a new record. A fold is as old as the beginning of
-its last reading, and a scheduler places tasks by one of five seconds at most: twice this
-time has to fit, or none is placed while the log is quiet."""
+LOG_READ_WAIT_S = 2.0
+"""Time for which a read waits for a new record.
+
+State computed from the log is as old as the start of its last read, and a scheduler places tasks
+only by state of at most 5 s. Twice this time must fit into that limit, or no task is placed while
+the log has no new records."""
 
 LOG_RETRY_S = 0.5
-"""Mean pause after the log gave no answer."""
+"""Mean delay before the next read after the log did not respond."""
 
 
 class LogTail:
-    """Reads a stream's end, with a pause and one event when the log is down.
+    """Reads a stream, with a delay after failures and one log event per outage.
 
     Args:
         log: The platform's log.
-        events: Where outages are told.
-        stream: The stream.
+        events: Event log for the start and end of outages.
+        stream: Name of the stream.
     """
 
     def __init__(self, log: LogPort, events: EventLog, stream: str) -> None:
@@ -42,11 +44,11 @@
     def __repr__(self) -> str:
         return f"LogTail({self._stream!r}, down={self._down})"
 
-    async def read(self, start: int, *, wait_s: float = LOG_WAIT_S) -> LogPage | None:
-        """Return the next page, or None after a failure and a pause.
+    async def read(self, start: int, *, wait_s: float = LOG_READ_WAIT_S) -> LogPage | None:
+        """Return the next page, or None after a failed read and a delay.
 
         Raises:
-            LogGap: ``start`` is past the log's retention.
+            LogGap: The log no longer retains the record at ``start``.
         """
         self.read_started_at = time.monotonic()
         try:
--- a/src/linkspan/runtime/metrics.py
+++ b/src/linkspan/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""The daemons' metrics, served at ``/metrics``."""
+"""Metrics of the gateway and the scheduler, served at ``/metrics``."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
 LATENCY_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
-"""Upper bounds in seconds."""
+"""Upper bounds of the histogram buckets, in seconds."""
 
 
 class Metrics:
-    """All metrics of a daemon in a registry of their own."""
+    """All metrics of a daemon, in a separate registry."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -49,10 +49,10 @@
         return "Metrics()"
 
     def page(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the page and its headers for a scraper.
+        """Return the metrics page and its headers.
 
         Args:
-            accept: The scraper's ``Accept`` header.
+            accept: ``Accept`` header of the request.
         """
         body, headers = render(self._registry, [accept or "text/plain"])
         return body, dict(headers)
--- a/src/linkspan/runtime/node.py
+++ b/src/linkspan/runtime/node.py
@@ -1,4 +1,4 @@
-"""A daemon's frame: peers, host list, configuration and the operators' listener."""
+"""Base of the gateway and the scheduler: peers, host list and configuration."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
     from linkspan.services.ports import Host, HostsPort, LogPort
     from linkspan.settings import DaemonSettings
 
-REMOTE_PEERS = 2
-"""Peers of other halls that get each heartbeat, chosen at random."""
+MAX_REMOTE_HEARTBEATS = 2
+"""Maximum number of peers in other halls that get each heartbeat; they are chosen at random."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the parts of an ``ip:port``."""
+    """Split an ``ip:port`` into its host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class Node:
-    """What a gateway and a scheduler have in common.
+    """Functions that a gateway and a scheduler have in common.
 
     Args:
         role: ``gateway`` or ``scheduler``.
@@ -71,19 +71,19 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._stop = asyncio.Event()
         self._crashed = False
-        self._adopting: asyncio.Task[None] | None = None
+        self._config_fetch: asyncio.Task[None] | None = None
         self._handlers: dict[type, Callable[[Any], Awaitable[Message | None]]] = {}
-        self.complete_heartbeat: Callable[[Heartbeat], Heartbeat] = lambda beat: beat
+        self.complete_heartbeat: Callable[[Heartbeat], Heartbeat] = lambda heartbeat: heartbeat
         self.register_handler(Heartbeat, self._on_heartbeat)
-        self.register_handler(FetchConfig, self._on_fetch)
+        self.register_handler(FetchConfig, self._on_fetch_config)
 
     def __repr__(self) -> str:
         return f"Node({self.name!r}, peers={len(self.directory.all())}, config={self.config!r})"
 
-    # Life of the daemon.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Bind the inner listener and begin the common tasks."""
+        """Bind the listener for peers and start the common tasks."""
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=256))
         self.log = HttpLog(self.session, self.settings.log)
         server = PeerServer(self._dispatch, on_bad_peer=self._on_bad_peer)
@@ -94,11 +94,11 @@
         self.events.write(Event.STARTED, settings=described(self.settings), pid=os.getpid())
         self._server = server
         self.spawn(self._poll_hosts())
-        self.spawn(self._tail_config())
-        self.spawn(self._beat())
+        self.spawn(self._follow_config())
+        self.spawn(self._send_heartbeats())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a task for as long as the daemon lives; its error ends the daemon."""
+        """Run a task until the daemon stops; an exception in it stops the daemon."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_end)
@@ -112,21 +112,21 @@
         self._stop.set()
 
     def ask_to_stop(self) -> None:
-        """Begin a planned stop; asking again changes nothing."""
+        """Start a planned stop; repeated calls have no effect."""
         if not self._stop.is_set():
             self.draining = True
             self.events.write(Event.DRAINING)
             self._stop.set()
 
     async def wait_for_stop(self) -> None:
-        """Return when a planned stop was asked for or a task failed."""
+        """Wait until a planned stop is requested or a task fails."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.ask_to_stop)
         await self._stop.wait()
 
     async def close(self) -> int:
-        """End all tasks and connections, and return the process's exit code."""
+        """Cancel all tasks, close all connections and return the process's exit code."""
         for task in list(self._tasks):
             task.remove_done_callback(self._on_task_end)
             task.cancel()
@@ -143,15 +143,15 @@
     def register_handler(
         self, kind: type, handler: Callable[[Any], Awaitable[Message | None]]
     ) -> None:
-        """Answer messages of this kind with the handler's result."""
+        """Respond to messages of a type with the handler's result."""
         self._handlers[kind] = handler
 
     async def ask(self, address: str, message: Message, *, timeout_s: float) -> Message:
-        """Send a peer a request and return its answer.
+        """Send a request to a peer and return its response.
 
         Raises:
-            Unreachable: No answer; the peer may have acted all the same.
-            ConnectionRefusedError: Nothing listens there, so nobody acted.
+            Unreachable: The peer did not respond; it may still have acted on the request.
+            ConnectionRefusedError: Nothing listens at the address, so no peer has acted.
         """
         return await self._link(address).ask(message, timeout_s=timeout_s)
 
@@ -167,29 +167,31 @@
     def _on_bad_peer(self, reason: str) -> None:
         self.events.write(Event.PEER_BAD, reason=reason)
 
-    async def _on_heartbeat(self, beat: Heartbeat) -> None:
-        self.directory.hear(beat, time.monotonic())
-        self.heartbeats.on_next(beat)
-        if beat.config > self.config.version:
-            self._adopting = self._adopting or asyncio.create_task(self._adopt_from(beat.address))
+    async def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self.directory.hear(heartbeat, time.monotonic())
+        self.heartbeats.on_next(heartbeat)
+        if heartbeat.config > self.config.version:
+            self._config_fetch = self._config_fetch or asyncio.create_task(
+                self._fetch_config_from(heartbeat.address)
+            )
 
-    async def _adopt_from(self, address: str) -> None:
+    async def _fetch_config_from(self, address: str) -> None:
         try:
-            answer = await self.ask(address, FetchConfig(), timeout_s=2.0)
-            if isinstance(answer, ConfigAnswer) and self.config.adopt(answer.state):
+            response = await self.ask(address, FetchConfig(), timeout_s=2.0)
+            if isinstance(response, ConfigAnswer) and self.config.adopt(response.state):
                 self.events.write(Event.CONFIG_FROM_PEER, version=self.config.version)
-                self._config_changed()
+                self._publish_config()
         except (Unreachable, ConnectionRefusedError):
             pass
         finally:
-            self._adopting = None
+            self._config_fetch = None
 
-    async def _on_fetch(self, message: FetchConfig) -> Message:
+    async def _on_fetch_config(self, message: FetchConfig) -> Message:
         return ConfigAnswer(self.config.state)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            beat = self.complete_heartbeat(
+            heartbeat = self.complete_heartbeat(
                 Heartbeat(
                     name=self.name,
                     role=self.role,
@@ -199,13 +201,15 @@
                     draining=self.draining,
                 )
             )
-            addresses = self._beat_addresses()
-            await asyncio.gather(*(self._beat_to(address, beat) for address in addresses))
+            addresses = self._heartbeat_addresses()
+            await asyncio.gather(
+                *(self._send_heartbeat_to(address, heartbeat) for address in addresses)
+            )
             alive = self.directory.live(time.monotonic())
             self.metrics.peers.set({}, len(alive))
             await asyncio.sleep(self.settings.heartbeat_s * random.uniform(0.9, 1.1))
 
-    def _beat_addresses(self) -> set[str]:
+    def _heartbeat_addresses(self) -> set[str]:
         near: set[str] = set(filter(None, self.settings.seeds.split(",")))
         far: set[str] = set()
         for host in self.host_lists.value:
@@ -214,15 +218,15 @@
         for peer in self.directory.all():
             (near if peer.beat.hall == self.settings.hall else far).add(peer.beat.address)
         far -= near
-        chosen = random.sample(sorted(far), min(REMOTE_PEERS, len(far)))
+        chosen = random.sample(sorted(far), min(MAX_REMOTE_HEARTBEATS, len(far)))
         return (near | set(chosen)) - {self.address}
 
-    async def _beat_to(self, address: str, beat: Heartbeat) -> None:
+    async def _send_heartbeat_to(self, address: str, heartbeat: Heartbeat) -> None:
         try:
             async with asyncio.timeout(self.settings.heartbeat_s):
-                await self._link(address).send(beat)
+                await self._link(address).send(heartbeat)
         except ConnectionRefusedError:
-            # Nothing listens there any more, so that process is gone.
+            # Nothing listens at the address, so the peer's process has ended.
             self._drop_peers_at(address)
         except (Unreachable, OSError, TimeoutError):
             pass
@@ -250,13 +254,13 @@
 
     # Configuration.
 
-    def _config_changed(self) -> None:
+    def _publish_config(self) -> None:
         version = self.config.version
         self.events.write(Event.CONFIG_IN_FORCE, version=version)
         self.metrics.config_version.set({}, version)
         self.config_states.on_next(self.config.state)
 
-    async def _tail_config(self) -> None:
+    async def _follow_config(self) -> None:
         tail = LogTail(self.log, self.events, CONFIG_STREAM)
         start = 0
         while True:
@@ -273,9 +277,9 @@
                 self.config.apply(entry.offset, entry.body)
             start = max(start, page.entries[-1].offset + 1 if page.entries else 0)
             if self.config.version != before:
-                self._config_changed()
+                self._publish_config()
 
     async def snapshot_config(self) -> None:
-        """Append the configuration in force, so that it outlives retention."""
+        """Append the configuration in force to the log before its records expire."""
         with contextlib.suppress(LogUnavailable):
             await self.log.append(CONFIG_STREAM, encode_state(self.config.state))
--- a/src/linkspan/runtime/operator_app.py
+++ b/src/linkspan/runtime/operator_app.py
@@ -1,4 +1,4 @@
-"""The operators' listener that both daemons have: health, metrics and status."""
+"""HTTP listener for operators of both daemons: health, readiness, metrics and drain."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from linkspan.runtime.node import Node
 
 OPEN_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
-"""Paths that need no token."""
+"""Paths that require no token."""
 
-MAX_OPERATOR_BODY = 1_048_576
-"""Largest body from an operator, in bytes."""
+MAX_OPERATOR_BODY_BYTES = 1_048_576
+"""Maximum size of a request body from an operator."""
 
 
 def json_answer(value: Any, *, status: int = 200, headers: dict[str, str] | None = None) -> Any:
-    """Return an HTTP answer with this value as JSON."""
+    """Return an HTTP response with a value as JSON."""
     body = orjson.dumps(value, default=list, option=orjson.OPT_INDENT_2)
     return web.Response(body=body, status=status, content_type="application/json", headers=headers)
 
@@ -29,20 +29,20 @@
 def problem(
     status: int, kind: str, text: str, *, retry_after_s: int | None = None, **more: Any
 ) -> web.Response:
-    """Return an error answer: its kind, what is wrong and what to do."""
+    """Return an error response with the kind of error and a text that names its remedy."""
     headers = {} if retry_after_s is None else {"Retry-After": str(retry_after_s)}
-    answer: web.Response = json_answer(
+    response: web.Response = json_answer(
         {"error": kind, "message": text, **more}, status=status, headers=headers
     )
-    return answer
+    return response
 
 
 def make_operator_app(node: Node, reasons_not_ready: Callable[[], list[str]]) -> web.Application:
-    """Return the app with what both daemons serve to operators.
+    """Return the app with the endpoints that both daemons serve to operators.
 
     Args:
         node: The daemon.
-        reasons_not_ready: Returns why it is not ready, nothing when it is.
+        reasons_not_ready: Returns why the daemon is not ready, an empty list if it is.
     """
 
     @web.middleware
@@ -51,8 +51,8 @@
     ) -> web.StreamResponse:
         token = node.settings.operator_token
         sent = request.headers.get("Authorization", "").removeprefix("Bearer ")
-        open_path = request.path in OPEN_PATHS
-        if open_path or not token or hmac.compare_digest(sent.encode(), token.encode()):
+        is_open = request.path in OPEN_PATHS
+        if is_open or not token or hmac.compare_digest(sent.encode(), token.encode()):
             return await handler(request)
         return problem(401, "unauthorized", "send 'Authorization: Bearer TOKEN'")
 
@@ -73,7 +73,7 @@
         node.ask_to_stop()
         return json_answer({"draining": True})  # type: ignore[no-any-return]
 
-    app = web.Application(client_max_size=MAX_OPERATOR_BODY, middlewares=[check_token])
+    app = web.Application(client_max_size=MAX_OPERATOR_BODY_BYTES, middlewares=[check_token])
     app.router.add_get("/healthz", health)
     app.router.add_get("/readyz", ready)
     app.router.add_get("/metrics", metrics)
@@ -82,7 +82,7 @@
 
 
 async def listen(app: web.Application, host: str, port: int) -> tuple[web.AppRunner, str]:
-    """Serve an app, and return its runner and the ``ip:port`` that was bound."""
+    """Serve an app and return its runner and the bound ``ip:port``."""
     runner = web.AppRunner(app, access_log=None, handle_signals=False)
     await runner.setup()
     site = web.TCPSite(runner, host, port)
--- a/tests/scheduler/test_core.py
+++ b/tests/scheduler/test_core.py
@@ -7,7 +7,7 @@
 from linkspan._rendezvous import rendezvous
 from linkspan.ledger.records import Joined, Placed
 from linkspan.placement.placer import PolicyPlacer
-from linkspan.runtime.log_tail import LOG_WAIT_S
+from linkspan.runtime.log_tail import LOG_READ_WAIT_S
 from linkspan.scheduler.core import SchedulerCore
 from linkspan.services.messages import AttemptKey, ClosedAttempt, WorkerReport
 from tests.builders import LedgerBuilder, job, watcher, worker
@@ -183,8 +183,8 @@
     placed = []
     for tick in range(160):
         now = 0.25 * tick
-        if now % LOG_WAIT_S == 0:
-            core.on_records([], now, end=end, began=now - LOG_WAIT_S - ANSWER_S)
+        if now % LOG_READ_WAIT_S == 0:
+            core.on_records([], now, end=end, began=now - LOG_READ_WAIT_S - ANSWER_S)
         if now >= 10.0:
             core.on_report(WorkerReport(worker(), now), began=now)
         record = core.step(now).record
