--- a/src/linkspan/trace/__init__.py
+++ b/src/linkspan/trace/__init__.py
@@ -1,4 +1,4 @@
-"""Following one job through the logs of all hosts."""
+"""Traces one job through the logs of all hosts."""
 
 from linkspan.trace._lines import TraceLine, trace
 from linkspan.trace._starts import Start, repeated_starts
--- a/src/linkspan/trace/_lines.py
+++ b/src/linkspan/trace/_lines.py
@@ -1,4 +1,4 @@
-"""Lines of hosts' logs that concern one job."""
+"""Selection of the log lines that concern one job."""
 
 from __future__ import annotations
 
@@ -8,8 +8,19 @@
 
 import orjson
 
-_HEAD = ("timestamp", "level", "message", "event", "kind", "daemon", "host", "hall", "life", "job")
-"""Fields that are shown apart, or are the same in each line."""
+_COMMON_FIELDS = (
+    "timestamp",
+    "level",
+    "message",
+    "event",
+    "kind",
+    "daemon",
+    "host",
+    "hall",
+    "life",
+    "job",
+)
+"""Fields that :class:`TraceLine` has attributes for, or that are the same in each line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,12 +28,12 @@
     """A log line that concerns a job.
 
     Attributes:
-        at: When it was written, by the host's time of day.
-        host: Host that wrote it.
+        at: Time of day at which the host wrote the line.
+        host: Host that wrote the line.
         hall: Hall of that host.
         event: Number of the event.
         kind: Name of the event.
-        details: Everything else that it says.
+        details: All other fields of the line.
     """
 
     at: str
@@ -38,32 +49,33 @@
 
 
 def trace(job_id: str, lines: Iterable[bytes]) -> list[TraceLine]:
-    """Return what hosts logged of a job, in order of their times of day.
+    """Return what hosts logged about a job, in order of the hosts' times of day.
 
-    Lines that name an executor of the job's runs as silent, gone or distrusted are
-    shown, too: they often are the cause. So are the claims of the owners that named
-    the job, each told by its shard and token.
+    The result includes lines about the executors of the job's runs, such as their silence, end
+    or quarantine, as these are often the cause of a problem. It also includes the lines of the
+    owners that logged the job, such as their claims; an owner is identified by its shard and
+    token.
 
     Args:
-        job_id: The caller's id of the job.
-        lines: Lines of any hosts' logs; anything before a line's object is ignored.
+        job_id: The id that the caller gave the job.
+        lines: Lines of any hosts' logs; text before the JSON object of a line is ignored.
     """
-    entries = list(_entries(lines))
-    own = [entry for entry in entries if entry.get("job") == job_id]
-    executors = {name for entry in own for name in _executors(entry)}
-    owners = {_owner(entry) for entry in own} - {None}
-    found = own + [
+    entries = list(_parse_entries(lines))
+    job_entries = [entry for entry in entries if entry.get("job") == job_id]
+    executors = {name for entry in job_entries for name in _executors_of(entry)}
+    owners = {_owner_of(entry) for entry in job_entries} - {None}
+    selected = job_entries + [
         entry
         for entry in entries
         if "job" not in entry
         and "percent" not in entry
-        and (entry.get("executor") in executors or _owner(entry) in owners)
+        and (entry.get("executor") in executors or _owner_of(entry) in owners)
     ]
-    found.sort(key=lambda entry: str(entry.get("timestamp", "")))
-    return [_line(entry) for entry in found]
+    selected.sort(key=lambda entry: str(entry.get("timestamp", "")))
+    return [_trace_line(entry) for entry in selected]
 
 
-def _entries(lines: Iterable[bytes]) -> Iterator[dict[str, Any]]:
+def _parse_entries(lines: Iterable[bytes]) -> Iterator[dict[str, Any]]:
     for line in lines:
         start = line.find(b"{")
         if start < 0:
@@ -76,14 +88,14 @@
             yield entry
 
 
-def _owner(entry: dict[str, Any]) -> tuple[str, str] | None:
-    """Return the shard and token that a line names, if it names both."""
+def _owner_of(entry: dict[str, Any]) -> tuple[str, str] | None:
+    """Return the shard and token of a line, or ``None`` if it lacks one of them."""
     if "shard" not in entry or "token" not in entry:
         return None
     return str(entry["shard"]), str(entry["token"])
 
 
-def _executors(entry: dict[str, Any]) -> Iterator[str]:
+def _executors_of(entry: dict[str, Any]) -> Iterator[str]:
     if "executor" in entry:
         yield str(entry["executor"])
     runs = entry.get("runs")
@@ -91,12 +103,12 @@
         yield from map(str, runs.values())
 
 
-def _line(entry: dict[str, Any]) -> TraceLine:
+def _trace_line(entry: dict[str, Any]) -> TraceLine:
     return TraceLine(
         at=str(entry.get("timestamp", "")),
         host=str(entry.get("host", "")),
         hall=str(entry.get("hall", "")),
         event=int(entry["event"]),
         kind=str(entry.get("kind", "")),
-        details={key: value for key, value in entry.items() if key not in _HEAD},
+        details={key: value for key, value in entry.items() if key not in _COMMON_FIELDS},
     )
--- a/src/linkspan/trace/_starts.py
+++ b/src/linkspan/trace/_starts.py
@@ -1,4 +1,4 @@
-"""Starts of a job's tasks, as the owners that made them logged them."""
+"""Starts of a job's tasks, reconstructed from the logs of the owners that decided them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
     from linkspan.trace._lines import TraceLine
 
-_OUTCOMES = {
+_OUTCOME_FIELDS = {
     "start_refused": "reason",
     "start_in_doubt": "",
     "run_failed": "",
@@ -20,27 +20,27 @@
     "unknown_run_stopped": "",
     "end_unknown": "how",
 }
-"""Lines that tell what became of a run, and the field that says more."""
+"""Kinds of lines with the outcome of a run, and the field with details of the outcome."""
 
-_TAKEN_IN = ("offset", "accepted_by", "records", "adopting", "begun", "moved_at", "loans")
-"""What an owner's line on taking a job in says of where it had the job from."""
+_ORIGIN_FIELDS = ("offset", "accepted_by", "records", "adopting", "begun", "moved_at", "loans")
+"""Fields of a ``job_taken_in`` line that describe from where the owner got the job."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A start of a task.
+    """One start of a task.
 
     Attributes:
-        at: When it was decided, by the host's time of day.
-        host: Host that decided it.
+        at: Time of day at which the host decided the start.
+        host: Host that decided the start.
         hall: Hall of that host.
-        shard: Shard that it acted for.
-        token: Token of its tenure; empty in lines that do not tell it.
+        shard: Shard that the host owned.
+        token: Token of the tenure; empty if the line lacks it.
         task: Repetition, step and index of the task.
-        executor: Where it was started.
+        executor: Executor of the run.
         run: Number of the run.
-        reason: By what the owner might start it.
-        outcome: What lines tell of the run afterwards.
+        reason: Why the owner was allowed to start the task.
+        outcome: Outcomes of the run according to later lines.
     """
 
     at: str
@@ -56,7 +56,7 @@
 
     @property
     def owner(self) -> tuple[str, str, str]:
-        """What tells its owner from others."""
+        """Host, shard and token, which together identify the owner."""
         return self.host, self.shard, self.token
 
 
@@ -64,37 +64,37 @@
     """Return the starts of each task that was started more than once, by task.
 
     Args:
-        lines: Lines of one job, in order of time.
+        lines: Lines about one job, in order of time.
     """
     starts: dict[str, list[Start]] = {}
-    taken_in: dict[tuple[str, str, str], TraceLine] = {}
-    outcomes = _outcomes(lines)
+    origins: dict[tuple[str, str, str], TraceLine] = {}
+    outcomes = _outcomes_by_run(lines)
     for line in lines:
         if line.kind == "job_taken_in" and not line.details.get("left"):
-            taken_in[_owner(line)] = line
-        for task, run, executor in _runs(line):
+            origins[_owner_of(line)] = line
+        for task, run, executor in _starts_in(line):
             start = Start(
                 line.at,
                 line.host,
                 line.hall,
-                *_owner(line)[1:],
+                *_owner_of(line)[1:],
                 task,
                 executor,
                 run,
-                _reason(line, taken_in.get(_owner(line))),
+                _reason(line, origins.get(_owner_of(line))),
                 ", ".join(outcomes.get((task, run, executor), ())),
             )
             starts.setdefault(task, []).append(start)
     return {task: found for task, found in sorted(starts.items()) if len(found) > 1}
 
 
-def _owner(line: TraceLine) -> tuple[str, str, str]:
+def _owner_of(line: TraceLine) -> tuple[str, str, str]:
     details = line.details
     return line.host, str(details.get("shard", "")), str(details.get("token", ""))
 
 
-def _runs(line: TraceLine) -> Iterator[tuple[str, str, str]]:
-    """Return task, run and executor of each start that a line tells of."""
+def _starts_in(line: TraceLine) -> Iterator[tuple[str, str, str]]:
+    """Return the task, run and executor of each start in a line."""
     details = line.details
     if line.kind == "run_copied":
         yield str(details.get("task")), str(details.get("run")), str(details.get("executor"))
@@ -106,26 +106,26 @@
         yield f"{details.get('step')}.{index}", run, str(executor)
 
 
-def _outcomes(lines: Iterable[TraceLine]) -> dict[tuple[str, str, str], list[str]]:
+def _outcomes_by_run(lines: Iterable[TraceLine]) -> dict[tuple[str, str, str], list[str]]:
     found: dict[tuple[str, str, str], list[str]] = {}
     for line in lines:
-        if line.kind not in _OUTCOMES:
+        if line.kind not in _OUTCOME_FIELDS:
             continue
         details = line.details
         key = str(details.get("task")), str(details.get("run")), str(details.get("executor"))
-        more = details.get(_OUTCOMES[line.kind], "")
+        more = details.get(_OUTCOME_FIELDS[line.kind], "")
         found.setdefault(key, []).append(f"{line.kind} {more}".strip())
     return found
 
 
-def _reason(line: TraceLine, taken_in: TraceLine | None) -> str:
+def _reason(line: TraceLine, origin: TraceLine | None) -> str:
     parts = ["copy"] if line.kind == "run_copied" else []
     parts += [str(line.details["by"])] if "by" in line.details else []
-    parts += _fields(line.details, ("roster", "loans"))
-    if taken_in:
-        parts += _fields(taken_in.details, _TAKEN_IN)
+    parts += _format_fields(line.details, ("roster", "loans"))
+    if origin:
+        parts += _format_fields(origin.details, _ORIGIN_FIELDS)
     return " ".join(parts)
 
 
-def _fields(details: dict[str, Any], names: Iterable[str]) -> list[str]:
+def _format_fields(details: dict[str, Any], names: Iterable[str]) -> list[str]:
     return [f"{name}={details[name]}" for name in names if name in details]
--- a/src/linkspan/trace/_summary.py
+++ b/src/linkspan/trace/_summary.py
@@ -1,4 +1,4 @@
-"""A job's repeated starts beside each other, as text."""
+"""Text summary of a job's repeated starts."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 _COLUMNS = ("at", "host", "hall", "shard", "token", "executor", "run", "reason", "outcome")
 
-_MOVES = ("work_handed_over", "move_kept", "move_told")
+_MOVE_KINDS = ("work_handed_over", "move_kept", "move_told")
 
 
 def summary(lines: Sequence[TraceLine]) -> list[str]:
-    """Return a text on the tasks of a job that were started more than once.
+    """Return a summary of the tasks of a job that were started more than once, line by line.
 
     Args:
-        lines: Lines of one job, in order of time.
+        lines: Lines about one job, in order of time.
     """
     starts = repeated_starts(lines)
     if not starts:
@@ -30,15 +30,17 @@
     for task, found in starts.items():
         owners = len({start.owner for start in found})
         text.append(f"task {task} was started {len(found)} times, by {owners} owner(s)")
-        text.extend(_table(found))
-    moves = [line for line in lines if line.kind in _MOVES or line.details.get("moved") is True]
+        text.extend(_format_table(found))
+    moves = [
+        line for line in lines if line.kind in _MOVE_KINDS or line.details.get("moved") is True
+    ]
     text.append(f"moves of the job: {len(moves)} line(s)")
     text.extend(f"  {line}" for line in moves)
     return text
 
 
-def _table(starts: Sequence[Start]) -> Iterator[str]:
-    """Return one line a start, in columns."""
+def _format_table(starts: Sequence[Start]) -> Iterator[str]:
+    """Return a header and one line per start, in columns."""
     rows: list[tuple[str, ...]] = [_COLUMNS]
     rows += [tuple(getattr(start, name) or "-" for name in _COLUMNS) for start in starts]
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
