--- a/src/linkspan/report/__init__.py
+++ b/src/linkspan/report/__init__.py
@@ -1,4 +1,4 @@
-"""Where the time of jobs went, told from the logs of all hosts."""
+"""Reports how jobs spent their time, from the logs of all hosts."""
 
 from linkspan.report.reader import JobTimes, LogReader
 from linkspan.report.table import render
--- a/src/linkspan/report/reader.py
+++ b/src/linkspan/report/reader.py
@@ -1,4 +1,4 @@
-"""Reads the logs of all hosts and adds up what the jobs' time went to."""
+"""Reads the logs of all hosts and sums up the time of jobs by cause."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
     from collections.abc import Callable, Iterable
 
 SPAN_S = 5.0
-"""Length of the spans of time by which jobs are added up, in seconds."""
+"""Length of the time spans by which jobs are grouped, in seconds."""
 
 MAX_OPEN_JOBS = 50_000
-"""Jobs that are kept in memory until their end is read; the oldest beyond that are
-counted as open. A kilobyte each, so 50 MB."""
+"""Maximum number of jobs kept in memory until their end is read; the oldest jobs beyond it count as
+open. Each job takes 1 KB, so all together take 50 MB."""
 
 _EVENTS = {event.number: event for event in Event}
 
 
 @dataclass(slots=True)
 class _OpenJob:
-    """What was read of a job that has not ended.
+    """State of a job whose end was not read yet.
 
     Attributes:
-        asked: Time of its first line.
-        accepted: Time of its acceptance, ``None`` before.
-        queue: Its queue.
-        intervals: What its time went to, as far as known.
-        lacking: What each step waits for, by step.
-        failed: Time of the first failure of a run, by step that may have runs to repeat.
+        first_line_at: Time of the job's first line.
+        accepted_at: Time of the job's acceptance, ``None`` before.
+        queue: The job's queue.
+        intervals: Intervals of the job's time whose cause is known.
+        lacking_by_step: The resource that each step waits for, by step.
+        failed_at_by_step: Time of the first failed run, by step that may have runs to repeat.
     """
 
-    asked: float
-    accepted: float | None = None
+    first_line_at: float
+    accepted_at: float | None = None
     queue: str = ""
     intervals: list[Interval] = field(default_factory=list)
-    lacking: dict[str, str] = field(default_factory=dict)
-    failed: dict[str, float] = field(default_factory=dict)
+    lacking_by_step: dict[str, str] = field(default_factory=dict)
+    failed_at_by_step: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class JobTimes:
-    """Sums over the jobs of one queue, hall and span of time.
+    """Sums over the jobs of one queue, hall and time span.
 
     Attributes:
         jobs: Jobs that ended, by final state.
-        seconds: Their time by cause and detail.
-        over_objective: Jobs that succeeded later than their objective, as estimated.
+        seconds: Time of these jobs by cause and detail.
+        over_objective: Jobs that succeeded later than their estimated objective.
     """
 
     jobs: Counter[str] = field(default_factory=Counter)
@@ -62,14 +62,14 @@
 
 
 class LogReader:
-    """Adds up log lines of any hosts, given in the order of their times.
+    """Sums up log lines of any hosts, read in order of time.
 
     Attributes:
-        times: Sums by queue, hall and beginning of the span.
-        over_s: Seconds that standing tasks were over their latency target, by hall.
-        refused: Jobs refused, by reason.
-        bad_lines: Lines that were no log lines.
-        open_jobs: Jobs whose end was not read.
+        times: Sums by queue, hall and start of the time span.
+        over_s: Seconds for which standing tasks exceeded their latency target, by hall.
+        refused: Number of refused jobs, by reason.
+        bad_lines: Number of lines that were not log lines.
+        open_jobs: Number of jobs whose end was not read.
     """
 
     def __init__(self) -> None:
@@ -78,71 +78,73 @@
         self.refused: Counter[str] = Counter()
         self.bad_lines = 0
         self._jobs: dict[str, _OpenJob] = {}
-        self._dropped = 0
+        self._dropped_jobs = 0
 
     def __repr__(self) -> str:
         return f"LogReader({len(self.times)} sums, {self.open_jobs} open)"
 
     @property
     def open_jobs(self) -> int:
-        """Jobs whose end was not read."""
-        return len(self._jobs) + self._dropped
+        """Number of jobs whose end was not read."""
+        return len(self._jobs) + self._dropped_jobs
 
     def read(self, lines: Iterable[bytes]) -> None:
-        """Take in lines; what stands before a line's object is ignored."""
+        """Process lines; text before the JSON object of a line is ignored."""
         for line in lines:
-            entry = _entry(line)
+            entry = _parse_entry(line)
             if entry is None:
                 self.bad_lines += bool(line.strip())
                 continue
             handler = _HANDLERS.get(_EVENTS.get(entry["event"]))
             if handler:
-                handler(self, entry, _time(entry))
+                handler(self, entry, _time_of(entry))
 
-    def _job(self, entry: dict[str, Any], at: float) -> _OpenJob:
+    def _open_job(self, entry: dict[str, Any], at: float) -> _OpenJob:
         job = self._jobs.get(entry["job"])
         if job is None:
             job = self._jobs[entry["job"]] = _OpenJob(at)
             if len(self._jobs) > MAX_OPEN_JOBS:
                 self._jobs.pop(next(iter(self._jobs)))
-                self._dropped += 1
+                self._dropped_jobs += 1
         return job
 
     def _on_refused(self, entry: dict[str, Any], at: float) -> None:
         self.refused[str(entry.get("reason"))] += 1
-        self._job(entry, at)
+        self._open_job(entry, at)
 
     def _on_accepted(self, entry: dict[str, Any], at: float) -> None:
-        job = self._job(entry, at)
-        if job.accepted is None:
-            job.accepted = at
+        job = self._open_job(entry, at)
+        if job.accepted_at is None:
+            job.accepted_at = at
             job.queue = str(entry.get("queue", ""))
-            job.intervals.append(Interval(job.asked, at, Cause.NOT_ACCEPTED))
+            job.intervals.append(Interval(job.first_line_at, at, Cause.NOT_ACCEPTED))
 
     def _on_blocked(self, entry: dict[str, Any], at: float) -> None:
-        against = entry.get("against") or {"not told": 1}
+        against = entry.get("against") or {"unknown reason": 1}
         lacking = max(against, key=lambda reason: against[reason])
-        self._job(entry, at).lacking[str(entry.get("step"))] = lacking
+        self._open_job(entry, at).lacking_by_step[str(entry.get("step"))] = lacking
 
     def _on_placed(self, entry: dict[str, Any], at: float) -> None:
-        job, step = self._job(entry, at), str(entry.get("step"))
+        job, step = self._open_job(entry, at), str(entry.get("step"))
         waited = float(entry.get("waited_s", 0.0))
         job.intervals.append(
-            Interval(at - waited, at, Cause.WAITING, job.lacking.get(step, "next plan"))
+            Interval(at - waited, at, Cause.WAITING, job.lacking_by_step.get(step, "next plan"))
         )
-        for failed in [other for other in job.failed if _precedes(other, step)]:
-            # A step whose successor is ready has no runs to repeat.
-            job.intervals.append(Interval(job.failed.pop(failed), at - waited, Cause.RUN_AGAIN))
+        for failed in [other for other in job.failed_at_by_step if _precedes(other, step)]:
+            # Once a later step is placed, the earlier step has no runs left to repeat.
+            job.intervals.append(
+                Interval(job.failed_at_by_step.pop(failed), at - waited, Cause.RUN_AGAIN)
+            )
 
     def _on_failed(self, entry: dict[str, Any], at: float) -> None:
         step = str(entry.get("task", "")).rpartition(".")[0]
-        self._job(entry, at).failed.setdefault(step, at)
+        self._open_job(entry, at).failed_at_by_step.setdefault(step, at)
 
-    def _on_doubt(self, entry: dict[str, Any], at: float) -> None:
-        # The start was called a second before the line: that is its time-out.
-        self._job(entry, at).intervals.append(Interval(at - 1.0, at, Cause.IN_DOUBT))
+    def _on_start_in_doubt(self, entry: dict[str, Any], at: float) -> None:
+        # The line is written when the start call times out, 1 s after the call.
+        self._open_job(entry, at).intervals.append(Interval(at - 1.0, at, Cause.IN_DOUBT))
 
-    def _on_over(self, entry: dict[str, Any], at: float) -> None:
+    def _on_latency_over(self, entry: dict[str, Any], at: float) -> None:
         self.over_s[str(entry.get("hall", ""))] += float(entry.get("over_s", 0.0))
 
     def _on_decided(self, entry: dict[str, Any], at: float) -> None:
@@ -150,15 +152,15 @@
         if job is None:
             return
         queue = str(entry.get("queue") or job.queue)
-        span = job.asked // SPAN_S * SPAN_S
+        span = job.first_line_at // SPAN_S * SPAN_S
         times = self.times[(queue, str(entry.get("hall", "")), span)]
         state = str(entry.get("state", ""))
         times.jobs[state] += 1
         objective = entry.get("objective_s")
-        if state == "succeeded" and objective is not None and at - job.asked > objective:
+        if state == "succeeded" and objective is not None and at - job.first_line_at > objective:
             times.over_objective += 1
-        job.intervals += [Interval(t, at, Cause.RUN_AGAIN) for t in job.failed.values()]
-        times.seconds.update(split(job.intervals, job.asked, at))
+        job.intervals += [Interval(t, at, Cause.RUN_AGAIN) for t in job.failed_at_by_step.values()]
+        times.seconds.update(split(job.intervals, job.first_line_at, at))
 
 
 _HANDLERS: dict[Event | None, Callable[[LogReader, dict[str, Any], float], None]] = {
@@ -167,13 +169,13 @@
     Event.STEP_BLOCKED: LogReader._on_blocked,
     Event.STEP_PLACED: LogReader._on_placed,
     Event.RUN_FAILED: LogReader._on_failed,
-    Event.START_IN_DOUBT: LogReader._on_doubt,
-    Event.LATENCY_OVER: LogReader._on_over,
+    Event.START_IN_DOUBT: LogReader._on_start_in_doubt,
+    Event.LATENCY_OVER: LogReader._on_latency_over,
     Event.JOB_DECIDED: LogReader._on_decided,
 }
 
 
-def _entry(line: bytes) -> dict[str, Any] | None:
+def _parse_entry(line: bytes) -> dict[str, Any] | None:
     start = line.find(b"{")
     if start < 0:
         return None
@@ -187,11 +189,11 @@
 
 
 def _precedes(step: str, other: str) -> bool:
-    """Whether a step is an earlier one of the same repetition."""
+    """Return whether a step precedes another one of the same repetition."""
     repetition, _, index = step.partition(".")
     other_repetition, _, other_index = other.partition(".")
     return repetition == other_repetition and int(index or 0) < int(other_index or 0)
 
 
-def _time(entry: dict[str, Any]) -> float:
+def _time_of(entry: dict[str, Any]) -> float:
     return datetime.fromisoformat(entry["timestamp"]).timestamp()
--- a/src/linkspan/report/table.py
+++ b/src/linkspan/report/table.py
@@ -1,4 +1,4 @@
-"""The sums of a report as text."""
+"""Renders the sums of a report as text tables."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 def render(reader: LogReader) -> str:
-    """Return a report: by queue, by hall, by span of time, and what stands beside."""
+    """Return the report with tables by queue, hall and time span, followed by other totals."""
     first = min((span for _, _, span in reader.times), default=0.0)
     parts = [
-        _section("queue", reader, lambda key: key[0]),
-        _section("hall", reader, lambda key: key[1]),
-        _section("from second", reader, lambda key: f"{key[2] - first:.0f}"),
-        _beside(reader),
+        _table("queue", reader, lambda key: key[0]),
+        _table("hall", reader, lambda key: key[1]),
+        _table("from second", reader, lambda key: f"{key[2] - first:.0f}"),
+        _totals(reader),
     ]
     return "\n\n".join(parts)
 
 
-def _section(title: str, reader: LogReader, group: Callable[[tuple[str, str, float]], str]) -> str:
+def _table(title: str, reader: LogReader, group: Callable[[tuple[str, str, float]], str]) -> str:
     sums: defaultdict[str, JobTimes] = defaultdict(JobTimes)
     for key in sorted(reader.times, key=lambda key: key[2]):
         total, part = sums[group(key)], reader.times[key]
@@ -52,7 +52,7 @@
     return sorted(seconds, key=lambda cause: -seconds[cause])
 
 
-def _beside(reader: LogReader) -> str:
+def _totals(reader: LogReader) -> str:
     lines = [f"jobs without a read end: {reader.open_jobs}", f"bad lines: {reader.bad_lines}"]
     lines += [f"refused, {reason}: {n}" for reason, n in reader.refused.most_common()]
     lines += [
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -42,7 +42,7 @@
     reader.read(waiting_job())
     assert seconds_of(reader) == {
         "not accepted/": 1.0,
-        "waiting for room/cores": 3.0,
+        "waiting for capacity/cores": 3.0,
         "run again after a failure/": 2.0,
         "running/": 2.0,
     }
