--- a/src/linkspan/selectors/__init__.py
+++ b/src/linkspan/selectors/__init__.py
@@ -1,1 +1,1 @@
-"""The selector language: which work may go where, and beside which."""
+"""The selector language for conditions on the labels of workers and tasks."""
--- a/src/linkspan/selectors/selector.py
+++ b/src/linkspan/selectors/selector.py
@@ -1,4 +1,4 @@
-"""Selectors: conditions on labels that operators write.
+"""Selectors, with which operators and callers write conditions on labels.
 
 Grammar::
 
@@ -6,7 +6,7 @@
     term     = "not" term | KEY | KEY ("=" | "!=") VALUE
              | KEY ["not"] "in" "(" VALUE { "," VALUE } ")"
 
-A bare key asks that the label exists. The empty selector matches everything.
+A bare key matches if the label exists. The empty selector matches everything.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 _TOKEN = re.compile(r"\s*(?:(!=|=|\(|\)|,)|([A-Za-z0-9_./:-]+))")
 _KEYWORDS = frozenset({"and", "not", "in"})
-MAX_LENGTH = 1_024
-"""Longest selector in characters."""
+MAX_SELECTOR_LENGTH = 1_024
+"""Maximum length of a selector, in characters."""
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One condition: the label's value is, or is not, among ``values``.
+    """One condition: the value of a label is, or is not, one of ``values``.
 
-    Empty ``values`` ask only whether the label exists.
+    Empty ``values`` require only that the label exists or, if negated, that it does not.
     """
 
     key: str
@@ -39,7 +39,7 @@
     negated: bool = False
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Return whether the labels meet this condition."""
+        """Return whether the labels meet the condition."""
         value = labels.get(self.key)
         found = value is not None and (not self.values or value in self.values)
         return found is not self.negated
@@ -59,19 +59,19 @@
     terms: tuple[Term, ...] = ()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Return whether the labels meet every condition."""
+        """Return whether the labels meet all conditions."""
         return all(term.matches(labels) for term in self.terms)
 
     def contradiction(self) -> str:
-        """Return the key for which no value can match, or an empty string."""
+        """Return the key of two conditions that exclude each other, or an empty string."""
         for first in self.terms:
             for second in self.terms:
-                if first.key == second.key and _clash(first, second):
+                if first.key == second.key and _exclude_each_other(first, second):
                     return first.key
         return ""
 
 
-def _clash(first: Term, second: Term) -> bool:
+def _exclude_each_other(first: Term, second: Term) -> bool:
     if first.negated:
         return False
     if second.negated:
@@ -80,76 +80,76 @@
 
 
 class _Parser:
-    """Recursive descent over the tokens of one selector."""
+    """Recursive descent parser for one selector."""
 
     def __init__(self, text: str) -> None:
         self._text = text
-        self._at = 0
+        self._position = 0
 
     def parse(self) -> Selector:
-        if len(self._text) > MAX_LENGTH:
-            raise self._error(f"keep it to {MAX_LENGTH} characters", MAX_LENGTH)
+        if len(self._text) > MAX_SELECTOR_LENGTH:
+            raise self._error(f"use at most {MAX_SELECTOR_LENGTH} characters", MAX_SELECTOR_LENGTH)
         if not self._text.strip():
             return Selector()
-        terms = [self._term()]
-        while not self._is_over():
+        terms = [self._parse_term()]
+        while not self._is_at_end():
             self._expect("and")
-            terms.append(self._term())
+            terms.append(self._parse_term())
         return Selector(tuple(terms))
 
-    def _term(self) -> Term:
+    def _parse_term(self) -> Term:
         negated = False
         while self._accept("not"):
             negated = not negated
-        key = self._word("a label key")
+        key = self._parse_word("a label key")
         if self._accept("="):
-            return Term(key, frozenset({self._word("a value")}), negated)
+            return Term(key, frozenset({self._parse_word("a value")}), negated)
         if self._accept("!="):
-            return Term(key, frozenset({self._word("a value")}), not negated)
+            return Term(key, frozenset({self._parse_word("a value")}), not negated)
         if self._accept("not"):
             self._expect("in")
-            return Term(key, self._values(), not negated)
+            return Term(key, self._parse_values(), not negated)
         if self._accept("in"):
-            return Term(key, self._values(), negated)
+            return Term(key, self._parse_values(), negated)
         return Term(key, frozenset(), negated)
 
-    def _values(self) -> frozenset[str]:
+    def _parse_values(self) -> frozenset[str]:
         self._expect("(")
-        values = {self._word("a value")}
+        values = {self._parse_word("a value")}
         while self._accept(","):
-            values.add(self._word("a value"))
+            values.add(self._parse_word("a value"))
         self._expect(")")
         return frozenset(values)
 
-    def _is_over(self) -> bool:
-        return not self._text[self._at :].strip()
+    def _is_at_end(self) -> bool:
+        return not self._text[self._position :].strip()
 
     def _peek(self) -> tuple[str, int]:
-        match = _TOKEN.match(self._text, self._at)
+        match = _TOKEN.match(self._text, self._position)
         if match is None:
-            return "", self._at
+            return "", self._position
         return match.group(1) or match.group(2), match.end()
 
     def _accept(self, token: str) -> bool:
         found, end = self._peek()
         if found != token:
             return False
-        self._at = end
+        self._position = end
         return True
 
     def _expect(self, token: str) -> None:
         if not self._accept(token):
             raise self._error(f"write {token!r} here")
 
-    def _word(self, what: str) -> str:
+    def _parse_word(self, expected: str) -> str:
         found, end = self._peek()
         if not found or found in _KEYWORDS or not found[0].isalnum():
-            raise self._error(f"write {what} here")
-        self._at = end
+            raise self._error(f"write {expected} here")
+        self._position = end
         return found
 
     def _error(self, remedy: str, position: int | None = None) -> SelectorSyntaxError:
-        at = self._at if position is None else position
+        at = self._position if position is None else position
         while at < len(self._text) and self._text[at].isspace():
             at += 1
         return SelectorSyntaxError(self._text, at, remedy)
@@ -157,9 +157,9 @@
 
 @lru_cache(maxsize=4_096)
 def parse_selector(text: str) -> Selector:
-    """Return the selector that the text stands for.
+    """Parse a selector.
 
     Raises:
-        SelectorSyntaxError: The text does not follow the grammar.
+        SelectorSyntaxError: The text does not match the grammar.
     """
     return _Parser(text).parse()
--- a/tests/selectors/test_selector.py
+++ b/tests/selectors/test_selector.py
@@ -33,7 +33,7 @@
     ("a and", 5, "write a label key here"),
     ("a in (b", 7, "write ')' here"),
     ("a & b", 2, "write 'and' here"),
-    ("a" * 1_025, 1_024, "keep it to 1024 characters"),
+    ("a" * 1_025, 1_024, "use at most 1024 characters"),
 ]
 
 
