--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Runs real host processes under drawn faults and judges what callers and executors see."""
+"""Runs host processes under random faults and checks what callers and executors observe."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -4,8 +4,8 @@
     python -m soak series --first 1 --count 50 --seconds 20 --jobs 2
     python -m soak regressions --jobs 2
 
-Sizes that are not given go round with the seed. The exit code is 1 where a promise was
-broken; the logs of such runs are kept.
+Sizes that are not given depend on the seed. The exit code is 1 if there was a violation; the logs
+of such runs are kept.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from soak.verdicts import write_verdict
 
 LOGS = "target/soak"
-"""Where logs go when no other folder is named."""
+"""Default folder for logs."""
 
 REGRESSION_S = 20.0
-"""Time in which faults begin when the seeds that failed once are played again."""
+"""Time during which faults start when seeds that once failed are played."""
 
 MAX_LINES = 20
-"""Broken promises that are printed of one run."""
+"""Maximum number of violations printed per run."""
 
 
 async def _play(plan: Plan, folder: Path, *, keep: bool) -> Outcome:
@@ -52,9 +52,9 @@
     """Play one seed.
 
     Args:
-        seed: From which all is drawn.
-        seconds: Time in which faults begin.
-        keep_logs: Folder in which logs are kept in any case.
+        seed: Seed of all random choices.
+        seconds: Time during which faults start.
+        keep_logs: Folder in which logs are kept even without a violation.
         sizes: Other fields of the plan: ``hosts``, ``executors``, ``halls``, ``jobs_per_s``.
     """
     plan = replace(Plan.of_seed(seed, seconds), **sizes)
@@ -66,12 +66,12 @@
 def series(
     first: int, *, count: int = 50, seconds: float = 20.0, jobs: int = 2, keep_logs: str = LOGS
 ) -> None:
-    """Play seeds in a row, some at a time, each in a process of its own."""
+    """Play consecutive seeds, several at a time, each in a separate process."""
     _play_seeds(range(first, first + count), seconds, jobs, keep_logs)
 
 
 def regressions(*, jobs: int = 2, keep_logs: str = LOGS) -> None:
-    """Play every seed that ever failed."""
+    """Play all seeds that ever failed."""
     _play_seeds(REGRESSIONS, REGRESSION_S, jobs, keep_logs)
 
 
@@ -86,7 +86,7 @@
 
 
 async def play_all(seeds: list[int], seconds: float, jobs: int, keep_logs: str) -> list[int]:
-    """Play seeds, some at a time, and return those that broke a promise."""
+    """Play seeds, several at a time, and return those with a violation."""
     free = asyncio.Semaphore(jobs)
 
     async def play(seed: int) -> int | None:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they submit, send again, ask and cancel, and note what they were told."""
+"""Callers, which submit, resubmit, query and cancel jobs and record the responses."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from linkspan.shard.messages import TaskName
 from soak.processes import StandIn
 
-PATIENCE_S = 3.0
-"""Time that callers wait for an answer, as the users' callers do."""
+CALLER_TIMEOUT_S = 3.0
+"""Time for which callers wait for a response, the same as that of the users' callers."""
 
-ATTEMPTS = 5
-"""The users' callers send a job once and again up to four times."""
+MAX_ATTEMPTS = 5
+"""Maximum number of times that a caller sends a request, the same as that of the users' callers."""
 
-VISIBLE_S = 3.0
-"""Time in which an accepted job must be known to every host (the users' bound)."""
+MAX_VISIBILITY_DELAY_S = 3.0
+"""Time within which every host must know an accepted job, which is the users' limit."""
 
 STANDING_SHARE = 0.08
 CANCELLED_SHARE = 0.2
-SENT_AGAIN_SHARE = 0.25
-"""Drawn so that each happens several times in a run of 20 s at 4 jobs a second, and
-standing jobs leave most of the room to others."""
+RESUBMITTED_SHARE = 0.25
+"""Fractions of standing, cancelled and resubmitted jobs. Each kind occurs several times in a run of
+20 s at 4 jobs per second, and standing jobs leave most of the capacity to others."""
 
 CRASH_AFTER_S = (0.01, 0.4, 3.0)
-"""Seconds after its begin at which a task crashes its executor: at once as in what callers
-saw, within short work's length, and later than most of it takes."""
+"""Times after the start of a task at which it crashes its executor: immediately, as users have
+observed; within the duration of short tasks; and after that of most tasks."""
 
-CRASHES_EVERY_S = 5.0
-"""Time between jobs of which a task crashes its executors: few at a time, with others' work
-beside each of them."""
+MAX_CRASHING_JOB_INTERVAL_S = 5.0
+"""Longest time between jobs with a task that crashes its executors. Few of them exist at a time,
+and tasks of other jobs run next to each of them."""
 
 PAYLOAD = "payload {}"
 
 
-class Told(Enum):
-    """What a caller may conclude from one attempt to submit."""
+class SubmitOutcome(Enum):
+    """What a caller may conclude from one attempt to submit a job."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -55,23 +55,23 @@
 
 @dataclass
 class Job:
-    """A job and what its caller was told.
+    """A job and what its caller knows about it.
 
     Attributes:
-        spec: What it consists of.
-        told: Outcome of each attempt to submit it.
+        spec: The job's specification.
+        outcomes: Outcome of each attempt to submit the job.
         accepted_at: Steady time of the first acceptance.
-        cancel_asked_at: Steady time at which its cancelling was first sent.
-        cancelled_at: Steady time at which that was acknowledged.
-        succeeded_at: Steady time at which it was first shown to have succeeded.
-        crash_after_s: Seconds after its begin at which its first task crashes its executor.
-        last_state: State that was shown last.
+        cancel_requested_at: Steady time of the first request to cancel the job.
+        cancelled_at: Steady time at which the cancellation was acknowledged.
+        succeeded_at: Steady time at which the job was first reported as succeeded.
+        crash_after_s: Seconds after the start of the first task at which it crashes its executor.
+        last_state: State that was reported last.
     """
 
     spec: JobSpec
-    told: list[Told] = field(default_factory=list)
+    outcomes: list[SubmitOutcome] = field(default_factory=list)
     accepted_at: float | None = None
-    cancel_asked_at: float | None = None
+    cancel_requested_at: float | None = None
     cancelled_at: float | None = None
     succeeded_at: float | None = None
     crash_after_s: float | None = None
@@ -79,26 +79,26 @@
 
     @property
     def id(self) -> str:
-        """Its id."""
+        """The job's id."""
         return self.spec.job_id
 
     @property
     def standing(self) -> bool:
-        """Whether it runs until it is cancelled."""
+        """Whether the job runs until it is cancelled."""
         return self.spec.steps[0].standing
 
     @property
-    def never_taken(self) -> bool:
-        """Whether each attempt that may have arrived was refused."""
-        return not set(self.told) & {Told.ACCEPTED, Told.UNKNOWN}
+    def was_never_accepted(self) -> bool:
+        """Whether every submission that may have reached a host was refused."""
+        return not set(self.outcomes) & {SubmitOutcome.ACCEPTED, SubmitOutcome.UNKNOWN}
 
     @property
     def tasks(self) -> list[str]:
-        """Names of its tasks, as executors spell them."""
+        """Names of the job's tasks, in the format that executors use."""
         return [
             task_to_wire(TaskName(self.id, 0, number, index))
-            for number, one in enumerate(self.spec.steps)
-            for index in range(one.count)
+            for number, spec_step in enumerate(self.spec.steps)
+            for index in range(spec_step.count)
         ]
 
 
@@ -106,10 +106,10 @@
     """All callers of a run.
 
     Args:
-        random: Draws jobs and what befalls them.
-        hosts: Callers' address of each host, by name.
-        executors: Is told of each job before it is sent.
-        session: Its connections are kept open and used again.
+        random: Source of jobs and of their callers' actions.
+        hosts: Address for callers of each host, by name.
+        executors: Stand-in that every job is registered with before its submission.
+        session: Client session, which keeps its connections open.
     """
 
     def __init__(
@@ -127,16 +127,16 @@
         self.violations: list[str] = []
 
     async def send_jobs(self, per_s: float) -> None:
-        """Submit jobs until cancelled, each by a caller of its own."""
+        """Submit jobs until cancelled, each by a separate caller."""
         async with asyncio.TaskGroup() as group:
             while True:
-                group.create_task(self._use(self.draw_job()))
+                group.create_task(self._run_caller(self.draw_job()))
                 await asyncio.sleep(self._random.expovariate(per_s))
 
     async def send_crashing_jobs(self, draw: Random) -> None:
         """Submit jobs whose first task crashes its executors, until cancelled."""
         while True:
-            await asyncio.sleep(draw.uniform(0.0, CRASHES_EVERY_S))
+            await asyncio.sleep(draw.uniform(0.0, MAX_CRASHING_JOB_INTERVAL_S))
             kind = step(draw.randint(1, 2), cpu=500, estimate_s=60.0, standing=draw.random() < 0.5)
             payload = PAYLOAD.format(f"crashing {len(self.jobs)}")
             spec = JobSpec(f"{draw.getrandbits(64):016x}", QUEUE.name, payload, (kind,))
@@ -145,7 +145,7 @@
             await self.submit(job, draw)
 
     def draw_job(self, *, calm: bool = False) -> Job:
-        """Return a new job; in calm times one that ends soon."""
+        """Return a new job; with ``calm``, one that ends soon."""
         draw = self._random
         if not calm and draw.random() < STANDING_SHARE:
             steps = [step(draw.randint(1, 3), cpu=500, estimate_s=0.5, standing=True)]
@@ -165,12 +165,12 @@
         self.jobs.append(job)
         return job
 
-    async def _use(self, job: Job) -> None:
+    async def _run_caller(self, job: Job) -> None:
         draw = Random(job.id)
         await self.submit(job, draw)
         if job.accepted_at is None:
             return
-        if draw.random() < SENT_AGAIN_SHARE:
+        if draw.random() < RESUBMITTED_SHARE:
             await asyncio.sleep(draw.uniform(0.2, 5.0))
             await self._attempt(job, self._host(draw))
         await asyncio.sleep(draw.uniform(0.0, 4.0))
@@ -182,40 +182,40 @@
         await self.ask(job, self._host(draw))
 
     async def submit(self, job: Job, draw: Random) -> None:
-        """Submit a job as the users' callers do: again elsewhere until it is answered."""
-        told: dict[str, object] = {"id": job.id, "body": job_body(job.spec).decode()}
+        """Submit a job as the users' callers do, with retries at other hosts."""
+        registration: dict[str, object] = {"id": job.id, "body": job_body(job.spec).decode()}
         if job.crash_after_s is not None:
-            told["crash_after_s"] = job.crash_after_s
-        await self._executors.tell("job", told)
-        for _ in range(ATTEMPTS):
-            told = await self._attempt(job, self._host(draw))
-            if told is Told.ACCEPTED:
+            registration["crash_after_s"] = job.crash_after_s
+        await self._executors.tell("job", registration)
+        for _ in range(MAX_ATTEMPTS):
+            outcome = await self._attempt(job, self._host(draw))
+            if outcome is SubmitOutcome.ACCEPTED:
                 return
-            if told is Told.REFUSED and draw.random() < 0.3:
+            if outcome is SubmitOutcome.REFUSED and draw.random() < 0.3:
                 return
             await asyncio.sleep(draw.uniform(0.05, 1.0))
 
-    async def _attempt(self, job: Job, host: str) -> Told:
-        # Its caller may leave in the midst of the call.
-        job.told.append(Told.UNKNOWN)
+    async def _attempt(self, job: Job, host: str) -> SubmitOutcome:
+        # The caller may be cancelled during the call, which leaves the outcome unknown.
+        job.outcomes.append(SubmitOutcome.UNKNOWN)
         status, _ = await self.call("POST", host, job.id, data=job_body(job.spec))
         if status == 0:
-            told = Told.UNSENT
+            outcome = SubmitOutcome.UNSENT
         elif status == 200:
-            told = Told.ACCEPTED
+            outcome = SubmitOutcome.ACCEPTED
             job.accepted_at = job.accepted_at or time.monotonic()
         elif status in (404, 429, 503):
-            told = Told.REFUSED
+            outcome = SubmitOutcome.REFUSED
         else:
-            told = Told.UNKNOWN
-        job.told[-1] = told
-        return told
+            outcome = SubmitOutcome.UNKNOWN
+        job.outcomes[-1] = outcome
+        return outcome
 
     async def ask(self, job: Job, host: str) -> str | None:
-        """Ask for a job's state and return it, or ``None`` without one."""
-        asked = time.monotonic()
+        """Query a job's state and return it, or ``None`` without a valid response."""
+        requested_at = time.monotonic()
         status, fields = await self.call("GET", host, job.id)
-        self._judge_gone(job, host, "GET", status, asked)
+        self._check_not_lost(job, host, "GET", status, requested_at)
         if status != 200:
             return None
         state = job.last_state = str(fields["state"])
@@ -224,35 +224,41 @@
         return state
 
     async def cancel(self, job: Job, draw: Random) -> None:
-        """Cancel a job, at one host after the other until that is acknowledged."""
-        job.cancel_asked_at = time.monotonic()
-        for _ in range(ATTEMPTS):
+        """Cancel a job, with retries at other hosts until the cancellation is acknowledged."""
+        job.cancel_requested_at = time.monotonic()
+        for _ in range(MAX_ATTEMPTS):
             host = self._host(draw)
-            asked = time.monotonic()
+            requested_at = time.monotonic()
             status, _ = await self.call("DELETE", host, job.id)
-            self._judge_gone(job, host, "DELETE", status, asked)
+            self._check_not_lost(job, host, "DELETE", status, requested_at)
             if status == 200:
                 job.cancelled_at = time.monotonic()
                 return
             await asyncio.sleep(draw.uniform(0.1, 1.0))
 
-    def _judge_gone(self, job: Job, host: str, method: str, status: int, asked: float) -> None:
-        if status == 410 and job.accepted_at and asked > job.accepted_at + VISIBLE_S:
-            since = asked - job.accepted_at
+    def _check_not_lost(
+        self, job: Job, host: str, method: str, status: int, requested_at: float
+    ) -> None:
+        if (
+            status == 410
+            and job.accepted_at
+            and requested_at > job.accepted_at + MAX_VISIBILITY_DELAY_S
+        ):
+            since = requested_at - job.accepted_at
             line = f"LOST {job.id}: {method} at {host} got 410 {since:.1f} s after its acceptance"
             self.violations.append(line)
 
     async def call(
         self, method: str, host: str, path: str, *, prefix: str = QUEUE.prefix, **body: Any
     ) -> tuple[int, dict[str, Any]]:
-        """Call a host; return status 0 if nothing was sent and -1 without a whole answer."""
-        headers = {"Host": QUEUE.host, TIMEOUT_HEADER: str(int(PATIENCE_S * 1000))}
+        """Call a host; return status 0 if nothing was sent and -1 without a complete response."""
+        headers = {"Host": QUEUE.host, TIMEOUT_HEADER: str(int(CALLER_TIMEOUT_S * 1000))}
         url = f"http://{self._hosts[host]}{prefix}{path}"
         try:
-            async with asyncio.timeout(PATIENCE_S + 0.2):
-                async with self._session.request(method, url, headers=headers, **body) as answer:
-                    fields = await answer.json() if answer.status == 200 else {}
-                    return answer.status, fields
+            async with asyncio.timeout(CALLER_TIMEOUT_S + 0.2):
+                async with self._session.request(method, url, headers=headers, **body) as response:
+                    fields = await response.json() if response.status == 200 else {}
+                    return response.status, fields
         except aiohttp.ClientConnectorError:
             return 0, {}
         except (aiohttp.ClientError, OSError, TimeoutError):
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""What a run consists of: addresses, settings files and configurations."""
+"""Size of a run, and the addresses, settings files and configurations of its hosts."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 CALLERS_PORT = 8161
 READINESS_PORT = 8167
-"""Ports of each host. Each has a loopback address of its own, at which no outgoing
-connection can take them."""
+"""Ports of each host. Each host has a separate loopback address, so that no outgoing connection can
+occupy these ports."""
 
 GRACE_S = 6.0
 MAX_LEASE_S = 6.0
-"""The users' bounds on a stop and on leases (the shorter of their deployments)."""
+"""Limits on a planned stop and on leases, the shorter ones of the users' deployments."""
 
 
 JOBS_PER_S = 4.0
-"""Jobs a second: some sixty at work at a time leave room on four executors."""
+"""Rate of submitted jobs. About 60 jobs run at a time, which leaves spare capacity on four
+executors."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +30,12 @@
     """Size and seed of a run.
 
     Attributes:
-        seed: From which all is drawn.
-        seconds: Time in which faults begin.
+        seed: Seed of all random choices.
+        seconds: Time during which faults start.
         hosts: Number of hosts.
         executors: Number of executors.
         halls: Number of halls.
-        jobs_per_s: Jobs submitted a second.
+        jobs_per_s: Rate of submitted jobs.
     """
 
     seed: int
@@ -46,14 +47,14 @@
 
     @classmethod
     def of_seed(cls, seed: int, seconds: float) -> Plan:
-        """Return a plan whose sizes go round with the seed."""
+        """Return a plan whose sizes depend on the seed."""
         halls = 2 + seed % 2
         hosts = halls * (2 + seed % 3 // 2)
         return cls(seed, seconds, hosts, halls * (2 + seed % 4), halls, JOBS_PER_S)
 
     @property
     def guards_room(self) -> bool:
-        """Whether executors refuse what does not fit; every third seed's do not."""
+        """Whether executors reject starts beyond their capacity; false for every third seed."""
         return self.seed % 3 != 0
 
     def hall(self, number: int) -> str:
@@ -62,7 +63,7 @@
 
 
 def host_address(number: int) -> str:
-    """Return the loopback address of a host; runs of other processes have others."""
+    """Return the loopback address of a host, which differs from those of other processes' runs."""
     process = os.getpid()
     return f"127.{1 + (process >> 8) % 250}.{process % 256}.{1 + number}"
 
@@ -88,12 +89,12 @@
 
 
 def version_prefix(version: int) -> str:
-    """Return the path of a queue that only this version of the configuration has."""
+    """Return the path prefix of a queue that only this version of the configuration contains."""
     return f"/version-{version}/"
 
 
 def configuration(version: int, extra_routes: int, *, guards_room: bool) -> str:
-    """Return a configuration: the queue of all jobs, its own, and some that come and go."""
+    """Return a configuration with the queue of all jobs, one of its version and extra ones."""
     names = [(QUEUE.name, QUEUE.prefix), (f"version-{version}", version_prefix(version))]
     names += [(f"extra-{n}", f"/extra-{n}/") for n in range(extra_routes)]
     routes = [
--- a/soak/executors.py
+++ b/soak/executors.py
@@ -1,4 +1,4 @@
-"""Process of all executors, which judges each order: ``python -m soak.executors SEED``."""
+"""Process of all executors, which checks each order: ``python -m soak.executors SEED``."""
 
 from __future__ import annotations
 
@@ -20,42 +20,43 @@
 from linkspan.store.types import Partition
 from soak.standin import listen, serve
 
-SHRUNK_COUNTS_S = 12.0
-"""Time after which a start must keep to a room that shrank: an owner that the store does not
-answer goes on for ten seconds, and an executor tells of itself within a heartbeat more."""
+SHRUNK_CAPACITY_GRACE_S = 12.0
+"""Time after a reduction of an executor's capacity from which starts must respect it. An owner
+without a response of the store continues for 10 s, and an executor registers its capacity within
+one more heartbeat."""
 
 
 class Registrations:
-    """Stands where the world has its store: entries go to the store's process, in order."""
+    """Replaces the store of the world; forwards its entries to the store's process in order."""
 
     def __init__(self, control: str) -> None:
         self._url = f"http://{control}/put"
         self._queue: asyncio.Queue[dict[str, str]] = asyncio.Queue()
 
     def put(self, partition: Partition, key: bytes, value: bytes) -> None:
-        """Queue an entry; an empty value takes it out."""
+        """Queue an entry; an empty value removes it."""
         record = {"topic": "servers", "key": key.decode(), "value": value.decode()}
         assert partition == EXECUTORS
         self._queue.put_nowait(record)
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write queued entries until cancelled."""
         async with aiohttp.ClientSession() as session:
             while True:
                 record = await self._queue.get()
-                async with session.post(self._url, json=record) as answer:
-                    answer.raise_for_status()
+                async with session.post(self._url, json=record) as response:
+                    response.raise_for_status()
 
 
 @dataclass
 class ExecutorWorld(HallExecutors):
-    """Executors with sockets; the judge is the one of the virtual world.
+    """Executors with sockets, with the same checks as in virtual time.
 
     Attributes:
-        done_at: When each task first ended as done.
-        run_done_at: When each run ended as done.
+        done_at: When each task was first done.
+        run_done_at: When each run was done.
         started_at: When runs of each job started.
-        lapsed_at: When each executor's lease was last over, by its life.
+        lapsed_at: When the lease of each executor was last expired, by incarnation.
     """
 
     done_at: dict[TaskName, float] = field(default_factory=dict)
@@ -64,22 +65,22 @@
     lapsed_at: dict[str, float] = field(default_factory=dict)
 
     def judge_start(self, executor: MemoryExecutor, order: StartOrder) -> None:
-        """Judge a start; a job that nobody sent has no steps to judge it by."""
+        """Record a start and check it; a job that was never registered has no steps to check."""
         self.started_at[order.task.job_id].append(executor.now)
         super().judge_start(executor, order)
 
     def judge_end(self, executor: MemoryExecutor, task: TaskName, run: int, kind: EndKind) -> None:
-        """Note when tasks were done."""
+        """Record when tasks were done."""
         super().judge_end(executor, task, run, kind)
         if kind is EndKind.DONE:
             self.done_at.setdefault(task, executor.now)
             self.run_done_at[executor.incarnation_name, task, run] = executor.now
 
     def judge_acknowledged(self, executor: MemoryExecutor, end: EndedTask) -> None:
-        """Judge starts between an end and its acknowledgement.
+        """Check that a task was not started between its end and the end's acknowledgement.
 
-        Where the lease was over in between, the end may have been waited out: it does
-        not count as taken note of.
+        If the lease expired in between, the owner may have given up on the executor before it
+        learned of the end, so a further start is allowed.
         """
         incarnation = executor.incarnation_name
         done_at = self.run_done_at.get((incarnation, end.task, end.run), 0.0)
@@ -90,55 +91,55 @@
             self.violations.append(f"TWICE {end.task} started after run {end.run} was done")
 
     def note_lapse(self, address: str) -> None:
-        """Note whether the lease of the executor at an address is over."""
+        """Record the time if the lease of the executor at an address is expired."""
         executor = self.executors.get(address)
         if executor and executor.clock >= executor.until:
             self.lapsed_at[executor.incarnation_name] = executor.now
 
 
 class ExecutorControl:
-    """Switches of the executors, for the process that started them."""
+    """Commands that the parent process sends to the executors."""
 
     def __init__(self, world: ExecutorWorld, front: ExecutorFront) -> None:
         self._world = world
         self._front = front
 
     def job(self, job: dict[str, str]) -> None:
-        """Learn a job before it is submitted for the first time.
+        """Register a job before it is first submitted.
 
-        With ``crash_after_s``, its first task crashes each executor that starts it.
+        With ``crash_after_s``, the job's first task crashes each executor that starts it.
         """
         self._world.specs[job["id"]] = job_from_wire(job["id"], QUEUE.name, job["body"].encode())
         if "crash_after_s" in job:
             first = TaskName(job["id"], 0, 0, 0)
             self._world.crashing.after_s[first] = float(job["crash_after_s"])
 
-    def executor(self, where: dict[str, str]) -> None:
-        """Begin a new executor at a ``port`` here, reached at an ``address``."""
-        self._front.addresses[int(where["port"])] = where["address"]
-        self._world.add_executor(where["hall"], where["address"])
+    def executor(self, command: dict[str, str]) -> None:
+        """Start a new executor at a local ``port`` that hosts reach at an ``address``."""
+        self._front.addresses[int(command["port"])] = command["address"]
+        self._world.add_executor(command["hall"], command["address"])
 
-    def crash(self, where: dict[str, Any]) -> list[str]:
-        """End an executor at once and return what ran there; another may begin there."""
-        executor = self._world.executors[where["address"]]
+    def crash(self, command: dict[str, Any]) -> list[str]:
+        """Crash an executor and return the tasks that ran there; ``back`` replaces it at once."""
+        executor = self._world.executors[command["address"]]
         if not executor.alive:
             return []
-        self._world.crash_executor(where["address"], back=where["back"])
+        self._world.crash_executor(command["address"], back=command["back"])
         return list(map(task_to_wire, executor.running))
 
-    def restart(self, where: dict[str, Any]) -> None:
-        """Let an executor fall and start again under its id, with all counts anew."""
-        if self._world.executors[where["address"]].alive:
-            self._world.restart_executor(**where)
+    def restart(self, command: dict[str, Any]) -> None:
+        """Crash an executor and restart it with the same id but without its previous state."""
+        if self._world.executors[command["address"]].alive:
+            self._world.restart_executor(**command)
 
-    def resize(self, where: dict[str, Any]) -> None:
-        """Change the room of an executor while it runs."""
-        if self._world.executors[where["address"]].alive:
-            self._world.resize(where["address"], where["milli_cpu"])
+    def resize(self, command: dict[str, Any]) -> None:
+        """Change the capacity of a running executor."""
+        if self._world.executors[command["address"]].alive:
+            self._world.resize(command["address"], command["milli_cpu"])
 
-    def drain(self, where: dict[str, str]) -> None:
-        """Register an executor as about to leave."""
-        executor = self._world.executors[where["address"]]
+    def drain(self, command: dict[str, str]) -> None:
+        """Register an executor as draining."""
+        executor = self._world.executors[command["address"]]
         if executor.alive:
             self._world.register(executor, draining=True)
 
@@ -148,7 +149,7 @@
             setattr(self._world, name, value)
 
     def observed(self, _argument: None) -> dict[str, Any]:
-        """Return what the executors saw so far."""
+        """Return what the executors have observed so far."""
         world = self._world
         alive = [executor for executor in world.executors.values() if executor.alive]
         for executor in alive:
@@ -168,16 +169,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Observed:
-    """What the executors saw.
+    """What the executors have observed.
 
     Attributes:
-        broken: Promises broken by orders.
+        broken: Violations by orders.
         done_at: Steady time at which each task was first done.
         started_at: Steady times at which runs of each job started.
-        running: Tasks at work now.
-        failed: Failed ends that were acknowledged, by task.
-        listed_ends: Ends that executors list and nobody acknowledged.
-        crashes: Executors that crashed while a task ran there, by task.
+        running: Tasks that currently run.
+        failed: Number of acknowledged failed ends, by task.
+        listed_ends: Number of ends that executors report and no owner has acknowledged.
+        crashes: Number of executors that crashed while a task ran there, by task.
     """
 
     broken: list[str]
@@ -190,8 +191,8 @@
 
 
 async def main(seed: int, executors: int, store_control: str) -> None:
-    """Serve until standard input ends."""
-    world = ExecutorWorld(seed=seed, shrunk_counts_s=SHRUNK_COUNTS_S)
+    """Serve until standard input is closed."""
+    world = ExecutorWorld(seed=seed, shrunk_counts_s=SHRUNK_CAPACITY_GRACE_S)
     registrations = Registrations(store_control)
     world.store = registrations  # type: ignore[assignment]
     writing = asyncio.create_task(registrations.run())
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -1,4 +1,4 @@
-"""Processes that the soak starts, and ends by their ids."""
+"""Stand-in and host processes that the soak starts and ends."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).parent.parent
 STDOUT_LIMIT_BYTES = 1 << 20
-"""Longest line that a stand-in prints: the addresses of a few hundred hosts."""
+"""Maximum length of a line from a stand-in: the addresses of a few hundred hosts."""
 
 
 def _environment(**more: str) -> dict[str, str]:
@@ -29,9 +29,9 @@
     """A stand-in's process, which ends when its standard input is closed.
 
     Args:
-        module: Module that it runs.
-        log: Where its standard error goes.
-        session: For commands.
+        module: Module that the process runs.
+        log: File for the standard error.
+        session: Client session for commands.
     """
 
     def __init__(self, module: str, log: Path, session: aiohttp.ClientSession) -> None:
@@ -41,7 +41,7 @@
         self.addresses: dict[str, str] = {}
 
     async def start(self, *arguments: str) -> None:
-        """Start it and learn its addresses."""
+        """Start the process and read its addresses."""
         with self._log.open("wb") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -63,59 +63,59 @@
         return self.addresses["control"]
 
     async def tell(self, command: str, argument: Any = None) -> Any:
-        """Run a command and return its answer."""
+        """Run a command in the process and return its result."""
         url = f"http://{self.control}/{command}"
-        async with self._session.post(url, json=argument) as answer:
-            answer.raise_for_status()
-            return await answer.json()
+        async with self._session.post(url, json=argument) as response:
+            response.raise_for_status()
+            return await response.json()
 
     async def end(self) -> None:
-        """End it and wait."""
+        """End the process and wait for its exit."""
         assert self._process.stdin
         self._process.stdin.close()
         await self._process.wait()
 
 
 class HostProcess:
-    """A host of the product, over all its lives.
+    """A host daemon across all its incarnations.
 
     Args:
         name: The host's name.
-        address: Loopback address of its own.
+        address: The host's loopback address.
         settings: The settings file.
-        log: Where its output goes.
+        log: File for the output.
 
     Attributes:
-        life: Number of lives begun.
-        harmed_at: Steady time of the last signal that may break what is in flight.
-        own_ends: Lives that ended without being told to, or with an error.
+        start_count: Number of incarnations started.
+        disrupted_at: Steady time of the last signal that may interrupt requests in flight.
+        own_ends: Incarnations that ended without a request to end, or with an error.
     """
 
     def __init__(self, name: str, address: str, settings: Path, log: Path) -> None:
         self._settings = settings
         self._log = log
         self._process: Process | None = None
-        self._paused = 0
+        self._pause_count = 0
         self._starting = False
         self.name = name
         self.address = address
-        self.life = 0
-        self.harmed_at = float("-inf")
+        self.start_count = 0
+        self.disrupted_at = float("-inf")
         self.own_ends: list[str] = []
-        self._told_to_end = False
+        self._end_requested = False
         self._watchers: set[asyncio.Task[None]] = set()
 
     @property
     def alive(self) -> bool:
-        """Whether its process runs or is paused."""
+        """Whether the process exists, running or paused."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Start a life, if none runs."""
+        """Start an incarnation if none runs."""
         if self.alive or self._starting:
             return
         self._starting = True
-        self.life += 1
+        self.start_count += 1
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -127,7 +127,7 @@
                 env=_environment(LINKSPAN_BOOT=str(self._settings)),
             )
         self._starting = False
-        self._told_to_end = False
+        self._end_requested = False
         self._handle = os.pidfd_open(self._process.pid)
         watcher = asyncio.create_task(self._watch(self._process, self._handle))
         self._watchers.add(watcher)
@@ -136,28 +136,28 @@
     async def _watch(self, process: Process, handle: int) -> None:
         code = await process.wait()
         os.close(handle)
-        if not self._told_to_end or code > 0:
+        if not self._end_requested or code > 0:
             self.own_ends.append(f"{self.name} ended by itself with exit code {code}")
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal; all but SIGTERM and SIGHUP count as harm to what is in flight."""
+        """Send a signal; all signals except SIGTERM and SIGHUP may interrupt requests in flight."""
         if number not in (signal.SIGTERM, signal.SIGHUP):
-            self.harmed_at = time.monotonic()
+            self.disrupted_at = time.monotonic()
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self._told_to_end = True
+            self._end_requested = True
         if self.alive:
-            # A descriptor names this process for good; its id may be given to another.
+            # A descriptor always refers to this process, while its id may be reused.
             with suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self._handle, number)
 
     async def kill(self) -> None:
-        """End the life at once."""
+        """Kill the process."""
         self.send(signal.SIGKILL)
         if self._process:
             await self._process.wait()
 
     async def stop(self, grace_s: float) -> bool:
-        """Stop as planned; return whether the life ended within the grace time."""
+        """Stop the host as planned and return whether it exited within the grace time."""
         process = self._process
         if process is None or not self.alive:
             return True
@@ -173,12 +173,12 @@
         return True
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process for a while; pauses may overlap."""
-        self._paused += 1
+        """Pause the process for a time; pauses may overlap."""
+        self._pause_count += 1
         self.send(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
         finally:
-            self._paused -= 1
-            if not self._paused:
+            self._pause_count -= 1
+            if not self._pause_count:
                 self.send(signal.SIGCONT)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: start all, send jobs, cause faults, wait for calm, judge."""
+"""One run: starts all processes, submits jobs, causes faults, waits for recovery and checks."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 from pathlib import Path
 from random import Random
 
-from soak.callers import Callers, Told
+from soak.callers import Callers, SubmitOutcome
 from soak.deployment import Plan
-from soak.faults import RESTART_FAULTS, ROOM_FAULTS, SERIES, run_series
-from soak.judge import await_configuration, crashes, given_up_beside, judge, settle
-from soak.keepers import Keeper, Tally
+from soak.faults import CAPACITY_FAULTS, RESTART_FAULTS, SERIES_COUNT, run_series
+from soak.judge import await_configuration, count_other_given_up_jobs, crashes, judge, settle
+from soak.persistent_callers import ConnectionStats, PersistentCaller
 from soak.world import World
 
 START_LIMIT_S = 60.0
-"""Longest time until all hosts are ready: 2 s each where the machine is free."""
+"""Longest time until all hosts are ready. A host takes 2 s on an idle machine."""
 
-KEEPERS_PER_HOST = 3
-MAX_KEEPERS = 60
-"""Callers that use their connection to its end."""
+PERSISTENT_CALLERS_PER_HOST = 3
+MAX_PERSISTENT_CALLERS = 60
+"""Numbers of callers with persistent connections, per host and in total."""
 
 CALM_JOBS = 8
-"""Jobs submitted after the last fault, which must be accepted and end."""
+"""Number of jobs submitted after the last fault, all of which must be accepted and end."""
 
-WATCH_S = 2.0
-"""Pause between looks at what the executors judged."""
+WATCH_INTERVAL_S = 2.0
+"""Interval between polls for violations that the executors have found."""
 
 
 @dataclass
 class Outcome:
-    """What a run gave.
+    """The outcome of a run.
 
     Attributes:
-        plan: Size and seed.
-        violations: Broken promises, with the time since the start where it is known.
-        jobs: Jobs submitted.
-        accepted: Jobs accepted.
-        starts: Runs that executors started.
-        crashing: Accepted jobs of which a task crashes its executors.
-        given_up: Other jobs that were given up, as executors had crashed under them, too.
-        questions: Answers on connections that are used to their end.
-        closed: Requests that met a connection that was just being closed.
-        settled_s: Time from the last fault until all was served again.
-        seconds: Time that the whole run took.
+        plan: Size and seed of the run.
+        violations: All violations.
+        jobs: Number of submitted jobs.
+        accepted: Number of accepted jobs.
+        starts: Number of runs that executors started.
+        crashing: Number of accepted jobs with a task that crashes its executors.
+        given_up: Number of other jobs that were given up because executors crashed under them.
+        questions: Number of responses on persistent connections.
+        closed: Number of requests on a connection that was just being closed.
+        settled_s: Time from the last fault until complete recovery.
+        seconds: Duration of the whole run.
     """
 
     plan: Plan
@@ -71,78 +71,78 @@
 
 
 class Run:
-    """A run.
+    """Plays one run.
 
     Args:
-        plan: Size and seed.
-        folder: Where settings and logs go.
+        plan: Size and seed of the run.
+        folder: Folder for settings and logs.
     """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self._plan = plan
         self._folder = folder
-        self._began = time.monotonic()
-        self._tally = Tally(0, 0, [])
-        self._seen = 0
+        self._started_at = time.monotonic()
+        self._stats = ConnectionStats(0, 0, [])
+        self._logged_violations = 0
         self._outcome = Outcome(plan)
 
     async def play(self) -> Outcome:
-        """Play it to its end and return what it gave."""
+        """Play the run to its end and return the outcome."""
         self._folder.mkdir(parents=True, exist_ok=True)
         async with World(self._plan, self._folder) as world:
             await world.await_ready(START_LIMIT_S)
             random = Random(f"{self._plan.seed} callers")
             callers = Callers(random, world.callers_at, world.executors, world.session)
-            await self._disturb(world, callers)
-            await self._calm_down(world, callers)
+            await self._cause_faults(world, callers)
+            await self._check_recovery(world, callers)
         self._outcome.violations += crashes(self._folder)
-        self._outcome.seconds = time.monotonic() - self._began
+        self._outcome.seconds = time.monotonic() - self._started_at
         return self._outcome
 
-    async def _disturb(self, world: World, callers: Callers) -> None:
+    async def _cause_faults(self, world: World, callers: Callers) -> None:
         until = time.monotonic() + self._plan.seconds
         hosts = list(world.hosts.values())
-        others = [asyncio.create_task(callers.send_jobs(self._plan.jobs_per_s))]
+        background = [asyncio.create_task(callers.send_jobs(self._plan.jobs_per_s))]
         crashing = callers.send_crashing_jobs(Random(f"{self._plan.seed} crashing"))
-        others.append(asyncio.create_task(crashing))
-        others.append(asyncio.create_task(self._watch(world)))
-        for number in range(min(KEEPERS_PER_HOST * len(hosts), MAX_KEEPERS)):
+        background.append(asyncio.create_task(crashing))
+        background.append(asyncio.create_task(self._watch(world)))
+        for number in range(min(PERSISTENT_CALLERS_PER_HOST * len(hosts), MAX_PERSISTENT_CALLERS)):
             host = hosts[number % len(hosts)]
             random = Random(f"{self._plan.seed} keeper {number}")
-            keeper = Keeper(random, host, world, callers, self._tally)
-            others.append(asyncio.create_task(keeper.run()))
-        series = [run_series(world, n, until, self._note) for n in range(SERIES)]
-        series.append(run_series(world, SERIES, until, self._note, ROOM_FAULTS))
-        series.append(run_series(world, SERIES + 1, until, self._note, RESTART_FAULTS))
+            caller = PersistentCaller(random, host, world, callers, self._stats)
+            background.append(asyncio.create_task(caller.run()))
+        series = [run_series(world, n, until, self._log_fault) for n in range(SERIES_COUNT)]
+        series.append(run_series(world, SERIES_COUNT, until, self._log_fault, CAPACITY_FAULTS))
+        series.append(run_series(world, SERIES_COUNT + 1, until, self._log_fault, RESTART_FAULTS))
         try:
             await asyncio.gather(*series)
         finally:
-            for task in others:
+            for task in background:
                 task.cancel()
-            results = await asyncio.gather(*others, return_exceptions=True)
+            results = await asyncio.gather(*background, return_exceptions=True)
         for result in results:
             if not isinstance(result, asyncio.CancelledError):
-                raise RuntimeError(f"a caller of the soak ended: {result!r}")
+                raise RuntimeError(f"a background task of the soak ended: {result!r}")
 
     async def _watch(self, world: World) -> None:
         while True:
-            await asyncio.sleep(WATCH_S)
-            for line in (await world.observed()).broken[self._seen :]:
-                self._seen += 1
-                self._note(f"BROKEN {line}")
+            await asyncio.sleep(WATCH_INTERVAL_S)
+            for line in (await world.observed()).broken[self._logged_violations :]:
+                self._logged_violations += 1
+                self._log_fault(f"BROKEN {line}")
 
-    async def _calm_down(self, world: World, callers: Callers) -> None:
+    async def _check_recovery(self, world: World, callers: Callers) -> None:
         calm_from = time.monotonic()
-        self._note("calm begins")
-        await world.settle_links()
+        self._log_fault("calm begins")
+        await world.clear_faults()
         outcome = self._outcome
         outcome.violations += await settle(world, callers)
         outcome.settled_s = time.monotonic() - calm_from
         for _ in range(CALM_JOBS):
             job = callers.draw_job(calm=True)
             await callers.submit(job, Random(job.id))
-            if job.told != [Told.ACCEPTED]:
-                outcome.violations.append(f"UNSERVED {job.id} in calm times: {job.told}")
+            if job.outcomes != [SubmitOutcome.ACCEPTED]:
+                outcome.violations.append(f"UNSERVED {job.id} in calm times: {job.outcomes}")
         await world.configure(extra_routes=1)
         outcome.violations += await await_configuration(world, callers)
         standing = [
@@ -154,17 +154,17 @@
         outcome.violations += await settle(world, callers)
         observed = await world.observed()
         outcome.violations += judge(callers, observed, calm_from)
-        outcome.violations += world.violations + self._tally.broken
+        outcome.violations += world.violations + self._stats.violations
         outcome.violations += [f"ENDED {end}" for h in world.hosts.values() for end in h.own_ends]
         outcome.jobs = len(callers.jobs)
         outcome.accepted = sum(1 for job in callers.jobs if job.accepted_at)
         outcome.crashing = sum(1 for job in callers.jobs if job.accepted_at and job.crash_after_s)
-        outcome.given_up = given_up_beside(callers, observed)
+        outcome.given_up = count_other_given_up_jobs(callers, observed)
         outcome.starts = sum(map(len, observed.started_at.values()))
-        outcome.questions, outcome.closed = self._tally.answered, self._tally.closed
+        outcome.questions, outcome.closed = self._stats.answered, self._stats.closed
         if not (outcome.accepted and outcome.starts and outcome.questions):
             outcome.violations.append("EMPTY nothing was served in the whole run")
 
-    def _note(self, text: str) -> None:
+    def _log_fault(self, text: str) -> None:
         with (self._folder / "faults.log").open("a") as log:
-            log.write(f"{time.monotonic() - self._began:7.2f} {time.monotonic():.2f} {text}\n")
+            log.write(f"{time.monotonic() - self._started_at:7.2f} {time.monotonic():.2f} {text}\n")
--- a/soak/standin.py
+++ b/soak/standin.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' processes share: sockets, a control address, and an end."""
+"""Common parts of the stand-in processes: listeners, a control address and shutdown."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 async def serve(control: object, addresses: dict[str, str]) -> None:
-    """Tell the addresses on standard output, take commands, end with standard input.
+    """Print the addresses to standard output and serve commands until standard input is closed.
 
     Args:
-        control: Its public methods are the commands; each takes one argument.
-        addresses: Addresses by name; that of the commands is added.
+        control: Object whose public methods are the commands; each takes one argument.
+        addresses: Addresses by name; the address for commands is added as ``control``.
     """
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
@@ -34,5 +34,5 @@
         return web.json_response(getattr(control, request.path[1:])(argument))
 
     print(json.dumps({**addresses, "control": await listen(handle)}), flush=True)
-    # Whoever started this process keeps its standard input open as long as it lives.
+    # The parent process keeps this standard input open until it exits.
     await asyncio.to_thread(sys.stdin.read)
--- a/soak/verdicts.py
+++ b/soak/verdicts.py
@@ -1,4 +1,4 @@
-"""What a run showed, kept beside its logs, and read again by whoever started it."""
+"""Result files of runs, which are stored next to their logs."""
 
 from __future__ import annotations
 
@@ -9,42 +9,48 @@
 if TYPE_CHECKING:
     from soak.run import Outcome
 
-VERDICT = "verdict.log"
-"""File in a run's folder that says what it gave and which promises it broke."""
+VERDICT_FILE = "verdict.log"
+"""File in a run's folder with the outcome and all violations."""
 
-FAULTS = "faults.log"
-"""File in a run's folder that says which faults it caused, and when."""
+FAULTS_FILE = "faults.log"
+"""File in a run's folder with the faults and their times."""
 
-MAX_TOLD = 40
-"""Lines of each file that are told of a run: enough for its verdict and all its faults."""
+MAX_REPORTED_LINES = 40
+"""Maximum number of lines of each file in a report: enough for the outcome and all faults."""
 
 
 def write_verdict(folder: Path, outcome: Outcome) -> None:
-    """Keep what a run gave, with every broken promise."""
+    """Write the outcome of a run with all violations."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / VERDICT).write_text("\n".join([str(outcome), *outcome.violations]) + "\n")
+    (folder / VERDICT_FILE).write_text("\n".join([str(outcome), *outcome.violations]) + "\n")
 
 
-def keep_broken(seeds: list[int], folder: Path, kept_below: Path) -> str:
-    """Keep the folders of seeds that broke a promise and return what to say of them.
+def keep_failed_runs(seeds: list[int], folder: Path, kept_below: Path) -> str:
+    """Copy the folders of failed seeds and return a report about them.
 
     Args:
-        seeds: The seeds.
-        folder: Where their folders are.
-        kept_below: Where they go, with all logs; an earlier one of the same seed is replaced.
+        seeds: The failed seeds.
+        folder: Parent of the seeds' folders.
+        kept_below: Parent of the copies; a copy of the same seed is replaced.
     """
-    told = []
+    report = []
     for seed in seeds:
         name = f"seed-{seed}"
         kept = kept_below / name
         shutil.rmtree(kept, ignore_errors=True)
         if (folder / name).exists():
             shutil.copytree(folder / name, kept)
-        told += [f"{name}, logs in {kept}", *_lines(kept / VERDICT), *_lines(kept / FAULTS)]
-    return "\n".join(told)
+        report += [
+            f"{name}, logs in {kept}",
+            *_lines(kept / VERDICT_FILE),
+            *_lines(kept / FAULTS_FILE),
+        ]
+    return "\n".join(report)
 
 
 def _lines(path: Path) -> list[str]:
     if not path.exists():
-        return [f"  no {path.name}: the run did not come to its end"]
-    return [f"  {line}" for line in path.read_text(errors="replace").splitlines()[:MAX_TOLD]]
+        return [f"  no {path.name}: the run did not finish"]
+    return [
+        f"  {line}" for line in path.read_text(errors="replace").splitlines()[:MAX_REPORTED_LINES]
+    ]
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""The processes and links of one run."""
+"""The processes and network links of one run."""
 
 from __future__ import annotations
 
@@ -25,31 +25,31 @@
 READINESS_TIMEOUT_S = 1.0
 
 VERSION_STEP = 3
-"""Versions of configurations rise, and leave some out."""
+"""Increment of the configuration version, as versions increase but need not be consecutive."""
 
 
 class World:
-    """Starts and ends everything of a run.
+    """Starts and stops all processes and proxies of a run.
 
     Args:
-        plan: Size and seed.
-        folder: Where settings and logs go.
+        plan: Size and seed of the run.
+        folder: Folder for settings and logs.
 
     Attributes:
         hosts: Hosts by name.
-        callers: Proxy of the callers' side of each host, by name.
-        store_links: Proxy of the store for each host, by name.
-        executor_links: Proxy of each executor, by the address that it registers.
-        callers_at: Address of each proxy in ``callers``.
-        violations: Promises broken by the processes themselves.
+        callers: Proxy in front of each host's listener for callers, by name of the host.
+        store_links: Proxy between each host and the store, by name of the host.
+        executor_links: Proxy in front of each executor, by the address that it registers.
+        callers_at: Address of each proxy in ``callers``, by name of the host.
+        violations: Violations by the host processes themselves.
     """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
         self._folder = folder
         self._stack = AsyncExitStack()
-        self._ports: dict[str, int] = {}
-        self._halls: dict[str, str] = {}
+        self._executor_ports: dict[str, int] = {}
+        self._executor_halls: dict[str, str] = {}
         self.hosts: dict[str, HostProcess] = {}
         self.callers: dict[str, FaultProxy] = {}
         self.store_links: dict[str, FaultProxy] = {}
@@ -62,14 +62,14 @@
     @property
     def executor_addresses(self) -> list[str]:
         """Addresses of all executors."""
-        return list(self._ports)
+        return list(self._executor_ports)
 
     def hall_of(self, executor: str) -> str:
-        """Return the hall of an executor's address."""
-        return self._halls[executor]
+        """Return the hall of the executor at an address."""
+        return self._executor_halls[executor]
 
     async def __aenter__(self) -> World:
-        """Start the stand-ins, the links and the hosts."""
+        """Start the stand-ins, the proxies and the hosts."""
         try:
             await self._start()
         except BaseException:
@@ -78,7 +78,7 @@
         return self
 
     async def __aexit__(self, *_error: object) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         await self._stack.aclose()
 
     async def _start(self) -> None:
@@ -87,8 +87,8 @@
             aiohttp.ClientSession(connector=connector)
         )
         names = [f"host-{number}" for number in range(self.plan.hosts)]
-        self.store = await self._stand_in("soak.store", *names)
-        self.executors = await self._stand_in(
+        self.store = await self._start_stand_in("soak.store", *names)
+        self.executors = await self._start_stand_in(
             "soak.executors", str(self.plan.seed), str(self.plan.executors), self.store.control
         )
         await self.executors.tell("world", {"guards_room": self.plan.guards_room})
@@ -99,13 +99,13 @@
             await self._add_host(number, name)
         await asyncio.gather(*(host.start() for host in self.hosts.values()))
 
-    async def _stand_in(self, module: str, *arguments: str) -> StandIn:
+    async def _start_stand_in(self, module: str, *arguments: str) -> StandIn:
         stand_in = StandIn(module, self._folder / f"{module}.log", self.session)
         await stand_in.start(*arguments)
         self._stack.push_async_callback(stand_in.end)
         return stand_in
 
-    async def _link(self, target: str) -> tuple[FaultProxy, str]:
+    async def _start_proxy(self, target: str) -> tuple[FaultProxy, str]:
         proxy = FaultProxy(target)
         address = await proxy.listen()
         self._stack.push_async_callback(proxy.close)
@@ -113,29 +113,35 @@
 
     async def _add_executor(self, number: int) -> None:
         target = self.executors.addresses[f"executor-{number}"]
-        proxy, address = await self._link(target)
+        proxy, address = await self._start_proxy(target)
         self.executor_links[address] = proxy
-        self._ports[address] = int(target.rpartition(":")[2])
-        self._halls[address] = self.plan.hall(number)
-        await self.renew_executor(address)
-
-    async def renew_executor(self, address: str) -> None:
-        """Begin a new executor at an address."""
-        where = {"hall": self._halls[address], "address": address, "port": self._ports[address]}
-        await self.executors.tell("executor", where)
+        self._executor_ports[address] = int(target.rpartition(":")[2])
+        self._executor_halls[address] = self.plan.hall(number)
+        await self.replace_executor(address)
+
+    async def replace_executor(self, address: str) -> None:
+        """Start a new executor at an address."""
+        location = {
+            "hall": self._executor_halls[address],
+            "address": address,
+            "port": self._executor_ports[address],
+        }
+        await self.executors.tell("executor", location)
 
     async def _add_host(self, number: int, name: str) -> None:
         address = host_address(number)
-        self.store_links[name], store = await self._link(self.store.addresses[name])
+        self.store_links[name], store = await self._start_proxy(self.store.addresses[name])
         settings = self._folder / f"{name}.yaml"
         write_settings(settings, self.plan, number, address, store)
         host = HostProcess(name, address, settings, self._folder / f"{name}.log")
         self.hosts[name] = host
         self._stack.push_async_callback(host.kill)
-        self.callers[name], self.callers_at[name] = await self._link(f"{address}:{CALLERS_PORT}")
+        self.callers[name], self.callers_at[name] = await self._start_proxy(
+            f"{address}:{CALLERS_PORT}"
+        )
 
     async def configure(self, extra_routes: int) -> None:
-        """Publish a configuration with some routes beside the one of all jobs."""
+        """Publish a configuration with additional routes besides the one for all jobs."""
         self.version += VERSION_STEP
         self.extra_routes = extra_routes
         guards_room = self.plan.guards_room
@@ -143,17 +149,17 @@
         await self.store.tell("put", {"topic": "op", "key": "config", "value": value})
 
     async def stop(self, host: HostProcess) -> None:
-        """Stop a host as planned; it must end within its time, without an error."""
-        if not await host.stop(GRACE_S) and host.harmed_at < time.monotonic() - 2 * GRACE_S:
+        """Stop a host as planned; a host that exceeds its grace time is a violation."""
+        if not await host.stop(GRACE_S) and host.disrupted_at < time.monotonic() - 2 * GRACE_S:
             self.violations.append(f"STOP {host.name} had not ended {GRACE_S:.0f} s after SIGTERM")
 
     async def ready(self, host: HostProcess) -> bool:
-        """Whether a host calls itself ready."""
+        """Return whether a host reports that it is ready."""
         url = f"http://{host.address}:{READINESS_PORT}/api/readiness"
         timeout = aiohttp.ClientTimeout(total=READINESS_TIMEOUT_S)
         try:
-            async with self.session.get(url, timeout=timeout) as answer:
-                return answer.status == 200
+            async with self.session.get(url, timeout=timeout) as response:
+                return response.status == 200
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
@@ -161,15 +167,15 @@
         """Wait until all hosts are ready.
 
         Raises:
-            TimeoutError: One is not, after so many seconds.
+            TimeoutError: A host is not ready within ``limit_s`` seconds.
         """
         async with asyncio.timeout(limit_s):
             for host in self.hosts.values():
                 while not await self.ready(host):
                     await asyncio.sleep(0.1)
 
-    async def settle_links(self) -> None:
-        """End all faults of links, stand-ins and hosts."""
+    async def clear_faults(self) -> None:
+        """End all faults of links and stand-ins, and start all hosts that are down."""
         links = (self.callers, self.store_links, self.executor_links)
         for proxy in (proxy for group in links for proxy in group.values()):
             proxy.cut = frozenset()
@@ -181,9 +187,9 @@
         await asyncio.gather(*(host.start() for host in self.hosts.values()))
 
     async def observed(self) -> Observed:
-        """Return what the executors saw so far."""
+        """Return what the executors have observed so far."""
         return Observed(**await self.executors.tell("observed"))
 
 
 EXECUTOR_SHARES = ("failing_share", "late_share", "lost_answer_share")
-"""Shares of starts that fail, of orders done late and of answers that are lost."""
+"""Attributes with the fraction of runs that fail, of late orders and of lost responses."""
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -8,9 +8,14 @@
 from typing import Any
 
 import pytest
-from soak.callers import Callers, Job, Told
+from soak.callers import Callers, Job, SubmitOutcome
 from soak.executors import ExecutorWorld, Observed
-from soak.judge import LATE_START_S, given_up_beside, is_right, judge
+from soak.judge import (
+    MAX_START_DELAY_AFTER_CANCEL_S,
+    count_other_given_up_jobs,
+    is_valid_state,
+    judge,
+)
 
 from linkspan.jobs.spec import JobSpec
 from linkspan.shard.messages import EndedTask, EndKind, StartOrder, TaskName
@@ -32,27 +37,27 @@
 @pytest.mark.parametrize(
     ("told", "broken"),
     [
-        ([Told.REFUSED, Told.UNSENT], ["REFUSED"]),
-        ([Told.REFUSED, Told.UNKNOWN], []),
-        ([Told.REFUSED, Told.ACCEPTED], []),
+        ([SubmitOutcome.REFUSED, SubmitOutcome.UNSENT], ["REFUSED"]),
+        ([SubmitOutcome.REFUSED, SubmitOutcome.UNKNOWN], []),
+        ([SubmitOutcome.REFUSED, SubmitOutcome.ACCEPTED], []),
     ],
 )
 def test_only_a_job_that_was_refused_each_time_must_not_start(
-    told: list[Told], broken: list[str]
+    told: list[SubmitOutcome], broken: list[str]
 ) -> None:
-    assert _judged(Job(SPEC, told=told), started_at={SPEC.job_id: [1.0]}) == broken
+    assert _judged(Job(SPEC, outcomes=told), started_at={SPEC.job_id: [1.0]}) == broken
 
 
 @pytest.mark.parametrize(("late_s", "broken"), [(0.1, ["UNASKED"]), (-0.1, [])])
 def test_a_start_long_after_its_cancel_is_noticed(late_s: float, broken: list[str]) -> None:
-    job = Job(SPEC, told=[Told.ACCEPTED], cancelled_at=CALM_FROM + 5)
-    started = CALM_FROM + 5 + LATE_START_S + late_s
+    job = Job(SPEC, outcomes=[SubmitOutcome.ACCEPTED], cancelled_at=CALM_FROM + 5)
+    started = CALM_FROM + 5 + MAX_START_DELAY_AFTER_CANCEL_S + late_s
     assert _judged(job, started_at={SPEC.job_id: [started]}) == broken
 
 
 @pytest.mark.parametrize(("last_done", "broken"), [(9.0, []), (11.0, ["MIXED"]), (None, ["MIXED"])])
 def test_success_is_shown_after_the_last_end(last_done: float | None, broken: list[str]) -> None:
-    job = Job(SPEC, told=[Told.ACCEPTED], succeeded_at=10.0)
+    job = Job(SPEC, outcomes=[SubmitOutcome.ACCEPTED], succeeded_at=10.0)
     done = dict.fromkeys(job.tasks, 8.0)
     if last_done is None:
         done.pop(job.tasks[-1])
@@ -160,9 +165,9 @@
 def test_a_job_is_given_up_only_where_executors_crashed_under_it(
     crash_after_s: float | None, state: str, crashes: int, right: bool
 ) -> None:
-    job = Job(SPEC, told=[Told.ACCEPTED], crash_after_s=crash_after_s)
+    job = Job(SPEC, outcomes=[SubmitOutcome.ACCEPTED], crash_after_s=crash_after_s)
     seen = _seen(crashes={job.tasks[0]: crashes})
-    assert is_right(job, state, seen) is right
+    assert is_valid_state(job, state, seen) is right
 
 
 def test_others_that_were_given_up_are_counted() -> None:
@@ -172,6 +177,6 @@
         Job(SPEC, last_state="failed", crash_after_s=0.4),
         Job(SPEC, last_state="succeeded"),
     ]
-    assert given_up_beside(callers, _seen()) == 1
+    assert count_other_given_up_jobs(callers, _seen()) == 1
     failed = {callers.jobs[0].tasks[0]: QUEUE.max_attempts}
-    assert given_up_beside(callers, _seen(failed=failed)) == 0
+    assert count_other_given_up_jobs(callers, _seen(failed=failed)) == 0
--- a/tests/soak/test_planned_stop.py
+++ b/tests/soak/test_planned_stop.py
@@ -8,7 +8,7 @@
 
 from soak.callers import Callers
 from soak.deployment import Plan
-from soak.keepers import CLOSING_SLACK_S, Keeper, Tally
+from soak.persistent_callers import CLOSING_SLACK_S, ConnectionStats, PersistentCaller
 from soak.world import World
 
 SLOW_S = 0.8
@@ -22,7 +22,7 @@
 async def test_a_planned_stop_cuts_no_question_that_waits_for_the_store(tmp_path: Path) -> None:
     assert SLOW_S >= 2 * CLOSING_SLACK_S
     plan = Plan(7, 0.0, hosts=2, executors=2, halls=2, jobs_per_s=0.0)
-    tally = Tally(0, 0, [])
+    stats = ConnectionStats(0, 0, [])
     async with World(plan, tmp_path) as world:
         hosts = list(world.hosts.values())
         await world.await_ready(START_LIMIT_S)
@@ -30,7 +30,9 @@
         await callers.submit(callers.draw_job(calm=True), Random(7))
         await world.store.tell("server", {"delay_s": SLOW_S})
         keepers = [
-            asyncio.create_task(Keeper(Random(n), hosts[n % 2], world, callers, tally).run())
+            asyncio.create_task(
+                PersistentCaller(Random(n), hosts[n % 2], world, callers, stats).run()
+            )
             for n in range(KEEPERS)
         ]
         for host in hosts:
@@ -40,5 +42,5 @@
         for keeper in keepers:
             keeper.cancel()
         await asyncio.gather(*keepers, return_exceptions=True)
-    assert tally.broken + world.violations == []
-    assert tally.answered > KEEPERS
+    assert stats.violations + world.violations == []
+    assert stats.answered > KEEPERS
--- a/tests/soak/test_runs.py
+++ b/tests/soak/test_runs.py
@@ -6,7 +6,7 @@
 
 from soak.__main__ import REGRESSION_S, play_all
 from soak.regressions import REGRESSIONS
-from soak.verdicts import keep_broken
+from soak.verdicts import keep_failed_runs
 
 FRESH_SEED = 9201
 """One that never failed."""
@@ -25,4 +25,4 @@
     seeds = [FRESH_SEED, *mended]
     broken = await play_all(seeds, REGRESSION_S, AT_ONCE, str(tmp_path))
     # A red run that cannot be read is lost.
-    assert broken == [], keep_broken(broken, tmp_path, KEPT_BELOW)
+    assert broken == [], keep_failed_runs(broken, tmp_path, KEPT_BELOW)
--- a/tests/soak/test_verdicts.py
+++ b/tests/soak/test_verdicts.py
@@ -6,7 +6,7 @@
 
 from soak.deployment import Plan
 from soak.run import Outcome
-from soak.verdicts import FAULTS, keep_broken, write_verdict
+from soak.verdicts import FAULTS_FILE, keep_failed_runs, write_verdict
 
 
 def test_a_run_that_broke_a_promise_leaves_its_verdict_and_its_logs(tmp_path: Path) -> None:
@@ -14,9 +14,9 @@
     played, kept = tmp_path / "played", tmp_path / "kept"
     broken = [f"LOST job {number}" for number in range(30)]
     write_verdict(played / "seed-7", Outcome(Plan.of_seed(7, 20.0), violations=broken))
-    (played / "seed-7" / FAULTS).write_text("12.50 kill host-1\n")
+    (played / "seed-7" / FAULTS_FILE).write_text("12.50 kill host-1\n")
     (played / "seed-7" / "host-1.log").write_text("{}\n")
-    told = keep_broken([7, 9], played, kept)
+    told = keep_failed_runs([7, 9], played, kept)
     assert "BROKEN 30" in told and "LOST job 29" in told and "kill host-1" in told
-    assert "seed-9" in told and "did not come to its end" in told
+    assert "seed-9" in told and "the run did not finish" in told
     assert (kept / "seed-7" / "host-1.log").exists()
