--- a/src/linkspan/shard/orders/_orders.py
+++ b/src/linkspan/shard/orders/_orders.py
@@ -105,7 +105,7 @@
         if answer.outcome is StartOutcome.INVALID:
             attempt.task.avoided_executors.add(order.executor_id)
         if answer.outcome is StartOutcome.NO_TICKET:
-            self._state.advice.drop(attempt.task.step, order.executor_id)
+            self._state.advice.discard_ticket(attempt.task.step, order.executor_id)
         attempt.task.not_before = now + _pause_s(attempt.task.refusals)
         attempt.task.refusals += 1
         if attempt.start_may_arrive_until > now:
--- a/src/linkspan/shard/planning/__init__.py
+++ b/src/linkspan/shard/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Which tasks start now, where and in what order, and which runs move or get a copy."""
+"""Planning: which tasks start now, where and in what order, and which runs are moved or copied."""
--- a/src/linkspan/shard/planning/_advisor.py
+++ b/src/linkspan/shard/planning/_advisor.py
@@ -1,4 +1,4 @@
-"""Asks the placement policy's service for the tickets that plans want."""
+"""Requests the tickets that plans need from the placement policy's service."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
     from linkspan.shard._context import TenureContext
     from linkspan.shard.planning.advice import AdviceCall, PolicyService
 
-TICK_S = 0.1
-"""Time between checks for calls that were put off."""
+DEFERRED_CHECK_INTERVAL_S = 0.1
+"""Time between checks for calls that are due after a retry delay."""
 
 
 class AdviceRequester:
-    """Makes one call at a time: the service works on no more for one host.
+    """Requests tickets, one call at a time.
+
+    The service processes only one call of a host at a time.
 
     Args:
-        context: What the tenure works with.
-        service: The service, ``None`` where there is none.
+        context: Components of the tenure.
+        service: The policy service, ``None`` if there is none.
     """
 
     def __init__(self, context: TenureContext, service: PolicyService | None) -> None:
@@ -38,18 +40,18 @@
         return f"AdviceRequester(shard={self._shard})"
 
     async def run(self) -> None:
-        """Ask for as long as the tenure lasts."""
+        """Make calls until the tenure ends."""
         while self._service:
             await self._changes.advice.wait()
             call = self._core.advice.next_call(steady())
             if call is None:
                 self._changes.advice.clear()
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(DEFERRED_CHECK_INTERVAL_S)
                 continue
-            await self._ask(self._service, call)
+            await self._request(self._service, call)
 
-    async def _ask(self, service: PolicyService, call: AdviceCall) -> None:
-        asked = steady()
+    async def _request(self, service: PolicyService, call: AdviceCall) -> None:
+        sent_at = steady()
         job = call.step.run.job
         try:
             advice = await service.advise(call.step, call.executor_ids)
@@ -58,15 +60,15 @@
             self._log.write(Event.ADVICE_MISSING, job=job.job_id, error=str(error))
             await asyncio.sleep(RETRY_S)
             return
-        took_s = steady() - asked
-        self._metrics.observe("advice", took_s)
-        self._core.advice.on_advice(call, advice, asked=asked, valid_s=job.ticket_valid_s)
+        duration_s = steady() - sent_at
+        self._metrics.observe("advice", duration_s)
+        self._core.advice.on_advice(call, advice, sent_at=sent_at, valid_s=job.ticket_valid_s)
         self._log.write(
             Event.ADVICE_GIVEN,
             job=job.job_id,
             step=f"{call.step.run.repetition}.{call.step.index}",
             asked=len(call.executor_ids),
             given=len(advice.tickets),
-            took_s=round(took_s, 3),
+            took_s=round(duration_s, 3),
         )
         self._changes.notify()
--- a/src/linkspan/shard/planning/_blocked.py
+++ b/src/linkspan/shard/planning/_blocked.py
@@ -1,4 +1,4 @@
-"""Why a step's tasks wait: what speaks against each executor, and who holds the hall."""
+"""Reports why a step's tasks wait: the reasons against each executor, and what uses the hall."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     from linkspan.shard.planning.placement import StepPlacement
 
 
-def blocked_fields(placement: StepPlacement, hall: dict[str, int]) -> dict[str, Any]:
-    """Return the fields of a log line that tells why a step's tasks wait.
+def blocked_fields(placement: StepPlacement, hall_cores: dict[str, int]) -> dict[str, Any]:
+    """Return the fields of a log line that explains why a step's tasks wait.
 
     Args:
-        placement: What found no executor for the step.
-        hall: Who holds the hall, from :func:`held_cores`.
+        placement: The placement that found no executor for the step.
+        hall_cores: Cores of the hall by what holds them, from :func:`held_cores`.
     """
     against = Counter(placement.reason_against(e) or "avoided" for e in placement.executors)
-    return {"against": dict(against), "held_cores": hall}
+    return {"against": dict(against), "held_cores": hall_cores}
 
 
 def held_cores(executors: Iterable[ExecutorState]) -> dict[str, int]:
     """Return the cores of a hall by what holds them.
 
-    Reservations are counted by the kind of work; ``best effort`` is beside them, at its
-    present pace.
+    Reservations are counted by the kind of work. ``best effort`` holds no reservation: its entry is
+    what best-effort runs use at their current pace, and overlaps with the others.
 
     Args:
         executors: Executors that may get new work.
--- a/src/linkspan/shard/planning/_free_room.py
+++ b/src/linkspan/shard/planning/_free_room.py
@@ -1,4 +1,4 @@
-"""Room of executors during one plan, so that a step looks only at those that may have enough."""
+"""Free capacity of executors during one plan, to preselect executors that may fit a task."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     from linkspan.shard.colocation._plan_rooms import PlanRooms
     from linkspan.shard.executor import ExecutorState
 
-ANY_CORES = math.nextafter(NONE_LEFT, 0.0)
-"""Thousandths of a core that any executor has but those with none left."""
+ANY_MILLI_CPU = math.nextafter(NONE_LEFT, 0.0)
+"""Lower bound of free thousandths of a core that excludes only :data:`NONE_LEFT`."""
 
 
-class RoomGroup(NamedTuple):
-    """Executors that a kind of steps may use.
+class ExecutorGroup(NamedTuple):
+    """Executors that steps of one kind may use.
 
     Attributes:
-        service: Service whose executors they are.
-        label: Label that they carry, empty if any will do.
-        best_effort: Whether cores that are reserved and not used count as free.
+        service: Service that the executors belong to.
+        label: Label that they carry, empty if none is required.
+        best_effort: Whether reserved but unused cores count as free.
     """
 
     service: str
@@ -33,31 +33,31 @@
 
 
 class FreeRoom:
-    """What is free on each executor of a plan, told anew for those where something is placed.
+    """Caches the free capacity of the executors of a plan, updated after each placement.
 
-    A hall that waits for room has many steps whose tasks fit nowhere, each of them a little
-    different: comparing three numbers an executor spares them the reasons against each.
+    A fully loaded hall has many steps, each a little different, whose tasks fit nowhere. Comparing
+    three numbers for each executor avoids checking every reason against it.
 
     Args:
         executors: Executors that may get new work, in order.
-        rooms: What standing tasks bear beside them.
+        rooms: Pressure that standing tasks tolerate from best-effort ones.
     """
 
     def __init__(self, executors: Iterable[ExecutorState], rooms: PlanRooms) -> None:
         self._executors = {e.record.executor_id: e for e in executors}
         self._rooms = rooms
-        self._groups: dict[RoomGroup, dict[str, tuple[ExecutorState, int, int, float]]] = {}
+        self._groups: dict[ExecutorGroup, dict[str, tuple[ExecutorState, int, int, float]]] = {}
 
     def __repr__(self) -> str:
         return f"FreeRoom({len(self._executors)} executors, {len(self._groups)} groups)"
 
-    def enough(self, group: RoomGroup, demand: Demand, cores: float) -> list[ExecutorState]:
+    def enough(self, group: ExecutorGroup, demand: Demand, milli_cpu: float) -> list[ExecutorState]:
         """Return the executors of a group that have enough memory, accelerators and cores.
 
         Args:
             group: The group.
             demand: Memory and accelerators that one task takes.
-            cores: Least thousandths of a core that must be free.
+            milli_cpu: Minimum of free thousandths of a core.
         """
         memory_mb, gpus = demand.memory_mb, demand.gpus
         rows = self._groups.get(group)
@@ -65,25 +65,25 @@
             rows = self._groups[group] = self._rows(group)
         return [
             executor
-            for executor, free_memory, free_gpus, free_cores in rows.values()
-            if free_cores >= cores and free_memory >= memory_mb and free_gpus >= gpus
+            for executor, free_memory_mb, free_gpus, free_cpu in rows.values()
+            if free_cpu >= milli_cpu and free_memory_mb >= memory_mb and free_gpus >= gpus
         ]
 
-    def changed(self, executor: ExecutorState) -> None:
-        """Take in that something was placed on an executor, or taken back."""
+    def update(self, executor: ExecutorState) -> None:
+        """Update an executor's row after a placement there was made or undone."""
         executor_id = executor.record.executor_id
         for group, rows in self._groups.items():
             if executor_id in rows:
                 rows[executor_id] = self._row(executor, group)
 
-    def drop(self, executor: ExecutorState) -> None:
-        """Let no more work go to an executor."""
+    def remove(self, executor: ExecutorState) -> None:
+        """Exclude an executor from further placements."""
         executor_id = executor.record.executor_id
         self._executors.pop(executor_id, None)
         for rows in self._groups.values():
             rows.pop(executor_id, None)
 
-    def _rows(self, group: RoomGroup) -> dict[str, tuple[ExecutorState, int, int, float]]:
+    def _rows(self, group: ExecutorGroup) -> dict[str, tuple[ExecutorState, int, int, float]]:
         return {
             executor_id: self._row(executor, group)
             for executor_id, executor in self._executors.items()
@@ -92,7 +92,7 @@
         }
 
     def _row(
-        self, executor: ExecutorState, group: RoomGroup
+        self, executor: ExecutorState, group: ExecutorGroup
     ) -> tuple[ExecutorState, int, int, float]:
-        cores = self._rooms.unused_cpu(executor) if group.best_effort else executor.free_cpu
-        return executor, executor.free_memory, executor.free_gpus, cores
+        free_cpu = self._rooms.unused_cpu(executor) if group.best_effort else executor.free_cpu
+        return executor, executor.free_memory, executor.free_gpus, free_cpu
--- a/src/linkspan/shard/planning/_moves.py
+++ b/src/linkspan/shard/planning/_moves.py
@@ -1,4 +1,4 @@
-"""Which runs are stopped to go on elsewhere."""
+"""Stops runs that continue on another executor."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from linkspan.shard.attempt import Phase
 from linkspan.shard.colocation.pacing import MOVE_BELOW
-from linkspan.shard.planning._overfull import Overfull
-from linkspan.shard.planning._plan_part import PlanPart
+from linkspan.shard.planning._offloading import Offloading
+from linkspan.shard.planning._plan_stage import PlanStage
 
 if TYPE_CHECKING:
     from linkspan.shard.attempt import Attempt
@@ -15,92 +15,98 @@
     from linkspan.shard.step_run import StepRun
 
 STRAGGLER_FACTOR = 3.0
-"""Multiple of its siblings' median after which a run counts as a straggler; tasks
-of one step differ by a third at most on a sound executor."""
+"""Multiple of the median of its siblings after which a run counts as a straggler. Tasks of one step
+differ by a third at most on a healthy executor."""
 
 STRAGGLER_SLACK_S = 0.5
-"""Added to that, for short tasks: a stop and a new start cost about this much."""
+"""Added to that bound for short tasks: about the cost of a stop and a new start."""
 
-LONE_FACTOR = 5.0
-"""Multiple of the caller's guess that stands in where no sibling has ended; guesses
-are wrong by a factor of two to three."""
+ESTIMATE_STRAGGLER_FACTOR = 5.0
+"""Multiple of the caller's estimate after which a run counts as a straggler while fewer than two of
+its siblings have ended. Estimates are wrong by a factor of two to three."""
 
-LONE_SLACK_S = 2.0
-"""Added to that."""
+ESTIMATE_STRAGGLER_SLACK_S = 2.0
+"""Added to the bound from the estimate."""
 
-MAX_MOVES = 2
-"""Times that a straggling task is moved, at most: each costs its work so far, and what takes
-long on a third executor, too, takes that long."""
+MAX_STRAGGLER_MOVES = 2
+"""Limits how often a straggling task is moved. Each move loses the work so far, and a task that is
+slow on a third executor, too, is slow by itself."""
 
-MOVE_LEFT_S = 1.5
-"""Work that a disturbing best-effort run must have left to be moved: a move costs
-about a second of it."""
+MIN_REMAINING_WORK_S = 1.5
+"""Minimum of remaining work for which an interfering best-effort run is moved: a move costs about a
+second of work."""
 
-MOVE_GAIN = 0.4
-"""Part of the present disturbance that is to be left after a move."""
+MAX_INTERFERENCE_RATIO = 0.4
+"""Limits the interference on the new executor, as a share of the interference on the present
+one."""
 
-LEAVE_MARGIN_S = 1.5
-"""Time before a draining executor may leave at which runs there are moved: a stop
-of 0.9 s and its answer."""
+DRAIN_MARGIN_S = 1.5
+"""Time before a draining executor may leave at which its runs are moved: a stop takes 0.9 s, and
+its answer must arrive, too."""
 
-LAST_CHANCE_S = 1.0
-"""Added to that for runs that save checkpoints: from here on they are moved whatever
-they may have left to do."""
+CHECKPOINT_DRAIN_MARGIN_S = 1.0
+"""Added to that margin for runs that save checkpoints: from then on they are moved even if they are
+expected to end in time."""
 
-ESTIMATE_MARGIN = 1.5
-"""Factor on a caller's guess for whether a run ends before its executor leaves."""
+REMAINING_ESTIMATE_FACTOR = 1.5
+"""Factor on a caller's estimate when predicting whether a run ends before its executor leaves."""
 
 
-class Moves(PlanPart):
-    """Moves of one plan: each is a stop, after which the task is placed again."""
+class Moves(PlanStage):
+    """Moves runs to other executors: stops each one, after which its task is placed again."""
 
-    def order(self) -> None:
-        """Order the stops that are due now."""
-        self._leave_draining()
-        self._leave_missing()
-        Overfull(self._view).order()
+    def add_orders(self) -> None:
+        """Add the stops that are due now."""
+        self._move_off_draining()
+        self._move_off_unregistered()
+        Offloading(self._view).add_orders()
         self._move_stragglers()
-        self._move_disturbing()
+        self._move_interfering()
 
-    def _leave_draining(self) -> None:
+    def _move_off_draining(self) -> None:
         for executor in self._core.executors.values():
             if not executor.record.draining or executor.silent_since is not None:
                 continue
-            left = executor.leaves_at - self._now
+            remaining_s = executor.leaves_at - self._now
             for attempt in list(executor.attempts.values()):
-                if attempt.phase is Phase.RUNNING and self._should_leave(attempt, left):
+                if attempt.phase is Phase.RUNNING and self._should_move_off(attempt, remaining_s):
                     self._core.stop(attempt, self._now, reason="executor leaves")
 
-    def _should_leave(self, attempt: Attempt, left: float) -> bool:
+    def _should_move_off(self, attempt: Attempt, remaining_s: float) -> bool:
         step = attempt.task.step
         if step.spec.standing:
             return True
-        if left > LEAVE_MARGIN_S and not step.spec.checkpoints:
+        if remaining_s > DRAIN_MARGIN_S and not step.spec.checkpoints:
             return False
-        expected = step.spec.estimate_s * ESTIMATE_MARGIN - (self._now - attempt.placed_at)
-        return left < LEAVE_MARGIN_S + LAST_CHANCE_S or (step.spec.checkpoints and expected > left)
-
-    def _leave_missing(self) -> None:
-        """Move standing tasks off executors whose entry is gone while they answer.
-
-        Some end without having said that they drain. Others are sound and cut off from
-        the store alone: so a step's tasks go one at a time, and only where there is room.
+        expected_s = step.spec.estimate_s * REMAINING_ESTIMATE_FACTOR - (
+            self._now - attempt.placed_at
+        )
+        return remaining_s < DRAIN_MARGIN_S + CHECKPOINT_DRAIN_MARGIN_S or (
+            step.spec.checkpoints and expected_s > remaining_s
+        )
+
+    def _move_off_unregistered(self) -> None:
+        """Move standing tasks off executors that still answer but are no longer registered.
+
+        Some of these executors are terminating without having announced a drain. Others are healthy
+        and have lost only their connection to the store. A step's tasks therefore move one at a
+        time, and only to executors that have capacity.
         """
         for executor in self._core.executors.values():
             if executor.missing_since > self._now or executor.silent_since is not None:
                 continue
             for attempt in list(executor.attempts.values()):
-                if self._all_at_work(attempt.task.step) and self._fits_elsewhere(attempt):
-                    self._core.stop(attempt, self._now, reason="executor is registered no more")
+                if self._all_running(attempt.task.step) and self._fits_elsewhere(attempt):
+                    self._core.stop(attempt, self._now, reason="executor is no longer registered")
 
-    def _all_at_work(self, step: StepRun) -> bool:
-        """Whether each task of a standing step is at work, all of them in this shard."""
+    def _all_running(self, step: StepRun) -> bool:
+        """Whether every task of a standing step is running, all of them in this shard."""
         return step.spec.standing and not step.spec.gang and step.all_at_work
 
     def _fits_elsewhere(self, attempt: Attempt) -> bool:
         step = attempt.task.step
         if step.run.job.requires_ticket:
-            # The other executor may have no ticket, and then it would only wait.
+            # The policy may refuse a ticket for the other executor; the task would then wait.
             return False
         return self._view.placement(step, self._view.usable()).choose(attempt.task) is not None
 
@@ -109,47 +115,49 @@
             if executor.silent_since is not None or executor.draining:
                 continue
             for attempt in executor.timed():
-                if self._straggles(attempt):
+                if self._is_straggler(attempt):
                     task = attempt.task
                     task.moves += 1
                     task.avoided_executors.add(executor.executor_id)
                     self._core.health.took(executor.executor_id, STRAGGLER_FACTOR * 2, self._now)
-                    self._core.stop(attempt, self._now, reason="runs far longer than its like")
+                    self._core.stop(attempt, self._now, reason="runs far longer than its siblings")
 
-    def _straggles(self, attempt: Attempt) -> bool:
+    def _is_straggler(self, attempt: Attempt) -> bool:
         step = attempt.task.step
         spec = step.spec
-        if attempt.task.moves >= MAX_MOVES:
-            # Not by what it avoids: that is forgotten where no other executor has room.
+        if attempt.task.moves >= MAX_STRAGGLER_MOVES:
+            # Counts moves, as avoided executors are cleared when no other one has capacity.
             return False
-        took = self._now - max(attempt.placed_at, attempt.confirmed_at)
-        if took <= STRAGGLER_SLACK_S:
-            # Most runs are younger than that; neither bound is below it.
+        duration_s = self._now - max(attempt.placed_at, attempt.confirmed_at)
+        if duration_s <= STRAGGLER_SLACK_S:
+            # Fast path for most runs: both bounds below are at least this long.
             return False
         if len(step.durations) >= 2:
-            return took > STRAGGLER_FACTOR * step.median_s + STRAGGLER_SLACK_S
-        return took > LONE_FACTOR * spec.estimate_s + LONE_SLACK_S
+            return duration_s > STRAGGLER_FACTOR * step.median_s + STRAGGLER_SLACK_S
+        return duration_s > ESTIMATE_STRAGGLER_FACTOR * spec.estimate_s + ESTIMATE_STRAGGLER_SLACK_S
 
-    def _move_disturbing(self) -> None:
-        """Move best-effort runs that were slowed down to where they disturb less."""
+    def _move_interfering(self) -> None:
+        """Move best-effort runs with a reduced pace to executors where they interfere less."""
         for executor in list(self._core.executors.values()):
             for attempt in executor.slowed(MOVE_BELOW):
-                if self._better_elsewhere(attempt, executor):
-                    self._core.stop(attempt, self._now, reason="disturbs standing tasks here")
+                if self._interferes_less_elsewhere(attempt, executor):
+                    self._core.stop(
+                        attempt, self._now, reason="interferes with standing tasks here"
+                    )
 
-    def _better_elsewhere(self, attempt: Attempt, executor: ExecutorState) -> bool:
+    def _interferes_less_elsewhere(self, attempt: Attempt, executor: ExecutorState) -> bool:
         step = attempt.task.step
         spec = step.spec
-        left_s = spec.estimate_s * (1 - attempt.progress / 100)
-        if not spec.checkpoints or spec.gang or left_s < MOVE_LEFT_S:
+        remaining_work_s = spec.estimate_s * (1 - attempt.progress / 100)
+        if not spec.checkpoints or spec.gang or remaining_work_s < MIN_REMAINING_WORK_S:
             return False
         if step.run.job.requires_ticket:
-            # The other executor may have no ticket, and then it would only wait.
+            # The policy may refuse a ticket for the other executor; the task would then wait.
             return False
         others = [e for e in self._view.usable() if e is not executor]
         best = self._view.placement(step, others).choose(attempt.task)
         if best is None:
             return False
         interference, image, cpu = self._core.interference, spec.image, spec.demand.milli_cpu
-        here = interference.worst_added(executor, image, cpu)
-        return interference.worst_added(best, image, cpu) < MOVE_GAIN * here
+        present = interference.worst_added(executor, image, cpu)
+        return interference.worst_added(best, image, cpu) < MAX_INTERFERENCE_RATIO * present
--- a/src/linkspan/shard/planning/_plan_part.py
+++ b/src/linkspan/shard/planning/_plan_stage.py
@@ -1,4 +1,4 @@
-"""What the parts of a plan share."""
+"""Base class of the stages of a plan."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
     from linkspan.shard.planning._plan_view import PlanView
 
 
-class PlanPart:
-    """One kind of orders of one plan.
+class PlanStage:
+    """One stage of a plan, which adds orders of one kind.
 
     Args:
-        view: What the plan works with.
+        view: The plan's view of the shard.
     """
 
     def __init__(self, view: PlanView) -> None:
@@ -23,6 +23,6 @@
     def __repr__(self) -> str:
         return f"{type(self).__name__}({self._view!r})"
 
-    def order(self) -> None:
+    def add_orders(self) -> None:
         """Add the orders that are due now."""
         raise NotImplementedError
--- a/src/linkspan/shard/planning/_plan_view.py
+++ b/src/linkspan/shard/planning/_plan_view.py
@@ -1,4 +1,4 @@
-"""What one plan sees of its shard."""
+"""The state of a shard as one plan sees it."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from linkspan.shard.planning._blocked import held_cores
 from linkspan.shard.planning._free_room import FreeRoom
+from linkspan.shard.planning._isolation import IsolatedPlacement
 from linkspan.shard.planning._step_scores import StepScores
-from linkspan.shard.planning._trials import Trials
 from linkspan.shard.planning.placement import StepPlacement
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
     Attributes:
         core: The shard's state.
-        rooms: What standing tasks bear beside them.
+        rooms: Pressure that standing tasks tolerate from best-effort ones.
         now: Steady time of the plan.
     """
 
@@ -33,37 +33,40 @@
     rooms: PlanRooms
     now: float
     _usable: list[ExecutorState] | None = None
-    _free: FreeRoom | None = None
-    _full: set[TaskKind] = field(default_factory=set)
+    _free_capacity: FreeRoom | None = None
+    _unplaceable: set[TaskKind] = field(default_factory=set)
 
     def usable(self) -> list[ExecutorState]:
-        """Return the executors that may get new work; no order of a plan changes them."""
+        """Return the executors that may get new work, a list that stays the same during a plan.
+
+        Only :meth:`reserve` takes executors out of it.
+        """
         if self._usable is None:
             executors = self.core.executors.values()
             usable = [e for e in executors if e.clock and self.core.takes_work(e, self.now)]
-            reserved = Trials(self.core, len(usable), self.now).reserved()
+            reserved = IsolatedPlacement(self.core, len(usable), self.now).reserved()
             self._usable = [e for e in usable if e.executor_id not in reserved]
         return self._usable
 
     def reserve(self, executor: ExecutorState) -> None:
-        """Let no other work of this plan go to an executor."""
+        """Exclude an executor from all further placements of this plan."""
         if executor in self.usable():
             self.usable().remove(executor)
-        self.free().drop(executor)
+        self.free_capacity().remove(executor)
 
-    def free(self) -> FreeRoom:
-        """Return the room of the executors that may get new work.
+    def free_capacity(self) -> FreeRoom:
+        """Return the free capacity of the executors that may get new work.
 
-        It follows what steps are placed that choose among all of them: asked for first after the
-        moves of the plan, which place nothing, it is done with before its copies.
+        Only placements that choose among all usable executors update it. It is therefore created
+        after the plan's moves, which place nothing, and is not used by the plan's copies.
         """
-        if self._free is None:
-            self._free = FreeRoom(self.usable(), self.rooms)
-        return self._free
+        if self._free_capacity is None:
+            self._free_capacity = FreeRoom(self.usable(), self.rooms)
+        return self._free_capacity
 
-    def trials(self) -> Trials:
-        """Return what keeps suspects of crashes apart."""
-        return Trials(self.core, len(self.usable()), self.now)
+    def isolated_placement(self) -> IsolatedPlacement:
+        """Return the placement of tasks with a crash history."""
+        return IsolatedPlacement(self.core, len(self.usable()), self.now)
 
     def held_cores(self) -> dict[str, int]:
         """Return the hall's cores by what holds them."""
@@ -72,11 +75,17 @@
     def placement(
         self, step: StepRun, executors: list[ExecutorState] | None = None
     ) -> StepPlacement:
-        """Return what chooses for a step among some executors, or all that may get new work."""
+        """Return a step's placement among the given executors, or among all usable ones."""
         core = self.core
         scores = StepScores(step, core.health, core.interference, self.rooms, self.now)
         if executors is None:
             return StepPlacement(
-                step, self.usable(), scores, self.rooms, self.now, self._full, self.free()
+                step,
+                self.usable(),
+                scores,
+                self.rooms,
+                self.now,
+                self._unplaceable,
+                self.free_capacity(),
             )
         return StepPlacement(step, executors, scores, self.rooms, self.now)
--- a/src/linkspan/shard/planning/advice.py
+++ b/src/linkspan/shard/planning/advice.py
@@ -1,8 +1,8 @@
-"""Tickets of a queue's placement policy, which an outside service decides.
+"""Tickets of a queue's placement policy, which an external service issues.
 
-A queue may have a policy that lets only some executors run a step. Only the policy's
-service knows which; its answer for a step does not change, but each ticket it gives
-holds for a while. So refusals are kept for good, and tickets are asked for again.
+A queue may have a policy that lets only some executors run a step. Only the policy's service knows
+which ones. Its decision for a step is final, but each ticket expires after a while: so refusals are
+kept for good, and tickets are requested again.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
     from linkspan.shard.step_run import StepRun
 
-MAX_ASKED = 30
-"""Executors named in one call. Each costs the service time, and objectives allow for one
-call with as many a step."""
+MAX_EXECUTORS_PER_CALL = 30
+"""Limits the executors in one call. Each costs the service time, and objectives allow for one call
+with this many executors for each step."""
 
-USED_UP_S = 0.3
-"""Time before its end from which a ticket is not used: a start takes tens of milliseconds."""
+MIN_REMAINING_VALIDITY_S = 0.3
+"""Minimum of remaining validity with which a ticket is used: a start takes tens of milliseconds."""
 
 RETRY_S = 0.2
-"""Pause after a call that was refused or not answered: the service takes one call of a
-host at a time, so a second one at once would only wait."""
+"""Delay after a call that was refused or not answered. The service processes one call of a host at
+a time, so an immediate second call would only wait."""
 
 
 class Advice(NamedTuple):
-    """The service's answer.
+    """Answer of the policy service.
 
     Attributes:
-        tickets: Tickets by executor; those left out may not run the step.
-        valid_s: How long the tickets hold, 0 if the answer does not say.
+        tickets: Tickets by executor; the executors left out may not run the step.
+        valid_s: Validity of the tickets in seconds, 0 if the answer does not contain it.
     """
 
     tickets: dict[str, str]
@@ -40,18 +40,18 @@
 
 
 class PolicyService(Protocol):
-    """The service that decides."""
+    """External service that decides which executors may run a step."""
 
     async def advise(self, step: StepRun, executor_ids: tuple[str, ...]) -> Advice:
-        """Return which executors may run a step.
+        """Return the tickets of a step for the given executors.
 
         Raises:
-            Unreachable: No answer, or a refusal.
+            Unreachable: The service did not answer, or refused the call.
         """
 
 
 class AdviceCall(NamedTuple):
-    """A call to make."""
+    """A call to the policy service."""
 
     step: StepRun
     executor_ids: tuple[str, ...]
@@ -59,17 +59,17 @@
 
 class _Ticket(NamedTuple):
     text: str
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
 class _StepAdvice:
-    """What is known for one step.
+    """Tickets and refusals of one step.
 
     Attributes:
         tickets: Tickets by executor.
-        refused: Executors that may not run it; final.
-        wanted: Executors to ask for, in order.
+        refused: Executors that may not run the step; final.
+        wanted: Executors to request tickets for, in order.
     """
 
     tickets: dict[str, _Ticket] = field(default_factory=dict)
@@ -78,7 +78,7 @@
 
 
 class AdviceCache:
-    """Tickets that a shard's owner holds, and those that it needs."""
+    """Caches the tickets of a shard's steps and tracks which ones to request."""
 
     def __init__(self) -> None:
         self._steps: dict[StepRun, _StepAdvice] = {}
@@ -88,64 +88,70 @@
         return f"AdviceCache({len(self._steps)} steps)"
 
     def ticket(self, step: StepRun, executor_id: str, now: float) -> str | None:
-        """Return a ticket that still holds, ``None`` without one."""
+        """Return a ticket that is still valid, ``None`` if there is none."""
         known = self._steps.get(step)
         ticket = known.tickets.get(executor_id) if known else None
-        return ticket.text if ticket and ticket.until - USED_UP_S > now else None
+        return (
+            ticket.text if ticket and ticket.expires_at - MIN_REMAINING_VALIDITY_S > now else None
+        )
 
-    def want(self, step: StepRun, executor_ids: Iterable[str], now: float) -> None:
-        """Have tickets asked for where there are none, the best executors first."""
+    def request_tickets(self, step: StepRun, executor_ids: Iterable[str], now: float) -> None:
+        """Request tickets for executors without a valid one, the best executors first."""
         known = self._steps.setdefault(step, _StepAdvice())
         for executor_id in executor_ids:
             if executor_id in known.refused or self.ticket(step, executor_id, now) is not None:
                 continue
             known.wanted[executor_id] = None
 
-    def drop(self, step: StepRun, executor_id: str) -> None:
-        """Take in that an executor did not accept a ticket."""
+    def discard_ticket(self, step: StepRun, executor_id: str) -> None:
+        """Discard a ticket that an executor did not accept."""
         known = self._steps.get(step)
         if known:
             known.tickets.pop(executor_id, None)
 
     def next_call(self, now: float) -> AdviceCall | None:
-        """Return the call to make now, if any."""
+        """Return the call to make now, ``None`` if none is due."""
         if now < self._not_before:
             return None
         for step, known in list(self._steps.items()):
             if step.run.job.closing or step.remaining_tasks == 0:
                 del self._steps[step]
             elif known.wanted:
-                return AdviceCall(step, tuple(known.wanted)[:MAX_ASKED])
+                return AdviceCall(step, tuple(known.wanted)[:MAX_EXECUTORS_PER_CALL])
         return None
 
-    def on_advice(self, call: AdviceCall, advice: Advice, *, asked: float, valid_s: float) -> None:
-        """Take in an answer.
+    def on_advice(
+        self, call: AdviceCall, advice: Advice, *, sent_at: float, valid_s: float
+    ) -> None:
+        """Apply an answer of the service.
 
         Args:
             call: The call.
             advice: The answer.
-            asked: Steady time at which the call was sent: tickets count from no earlier.
-            valid_s: How long tickets hold where the answer does not say.
+            sent_at: Steady time when the call was sent, from which the tickets' validity is
+                counted.
+            valid_s: Validity of tickets if the answer does not contain it, in seconds.
         """
         known = self._steps.get(call.step)
         if known is None:
             return
-        until = asked + (advice.valid_s or valid_s)
+        expires_at = sent_at + (advice.valid_s or valid_s)
         for executor_id in call.executor_ids:
             known.wanted.pop(executor_id, None)
             text = advice.tickets.get(executor_id)
             if text is None:
                 known.refused.add(executor_id)
             else:
-                known.tickets[executor_id] = _Ticket(text, until)
+                known.tickets[executor_id] = _Ticket(text, expires_at)
 
     def on_failed(self, call: AdviceCall, now: float) -> None:
-        """Take in that a call was refused or not answered: other steps come first now."""
+        """Handle a call that was refused or not answered: delay the next one and queue the step
+        last."""
         self._not_before = now + RETRY_S
         known = self._steps.pop(call.step, None)
         if known:
             self._steps[call.step] = known
 
     def forget(self, step: StepRun) -> None:
-        """Forget a step that this shard looks after no more."""
+        """Remove a step that this shard no longer manages."""
         self._steps.pop(step, None)
--- a/src/linkspan/shard/planning/durations.py
+++ b/src/linkspan/shard/planning/durations.py
@@ -1,73 +1,74 @@
-"""How long steps take, learnt beside what callers guess."""
+"""Estimates how long steps take, from callers' estimates and measured durations."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import exp, log
 
-TRUST_IN_GUESSES = 6.0
-"""Steps after which what was seen counts as much as the guesses: with six, the spread of a
-mean is down to 0.4 of that of one step."""
+ESTIMATE_WEIGHT_STEPS = 6.0
+"""Number of steps after which measured durations weigh as much as the callers' estimates. With six
+steps the spread of a mean is down to 0.4 of that of a single step."""
 
-TRUST_IN_SLOPE = 3.0
-"""The same for how far lengths follow the guesses, times the spread of the guesses' logarithms,
-squared, which is about a half."""
+SLOPE_REGULARIZATION = 3.0
+"""Regularization of the slope of durations over estimates: six steps times the variance of the
+logarithms of the estimates, which is about 0.5."""
 
-MEMORY = 300.0
-"""Steps over which older ones fade: a hall ends some three a second."""
+MEMORY_STEPS = 300.0
+"""Number of steps over which the weight of older ones decays: a hall ends about three a second."""
 
-MIN_S = 0.01
-"""Least length that is told apart, in seconds."""
+MIN_DURATION_S = 0.01
+"""Lower bound of durations and estimates, in seconds."""
 
-MAX_S = 1e6
-"""Longest, about twelve days: callers may write any number."""
+MAX_DURATION_S = 1e6
+"""Upper bound, in seconds, about twelve days: callers may send any number."""
 
-MAX_RATIO = log(100.0)
-"""Most that an expected length may differ from its guess, as a logarithm: a guess off by more
-is an error of the caller that no other guess of the queue tells of."""
+MAX_LOG_RATIO = log(100.0)
+"""Limits the logarithm of expected duration over estimate. An estimate that is off by more is an
+error of the caller, and other estimates of the queue do not predict it."""
 
 
 @dataclass(slots=True)
 class _Fit:
-    """Sums over logarithms of guesses and of lengths over guesses, older ones fading."""
+    """Exponentially decaying sums for a linear fit of the log ratio over the log estimate."""
 
     count: float = 0.0
-    guess: float = 0.0
-    guess_squared: float = 0.0
+    estimate: float = 0.0
+    estimate_squared: float = 0.0
     ratio: float = 0.0
     product: float = 0.0
 
-    def add(self, guess: float, ratio: float) -> None:
-        keep = 1.0 - 1.0 / MEMORY
-        self.count = keep * self.count + 1.0
-        self.guess = keep * self.guess + guess
-        self.guess_squared = keep * self.guess_squared + guess * guess
-        self.ratio = keep * self.ratio + ratio
-        self.product = keep * self.product + guess * ratio
-
-    def ratio_at(self, guess: float) -> float:
-        """Return the logarithm of length over guess to expect for a guess."""
-        mean_guess = self.guess / self.count
-        spread = self.guess_squared - self.guess * mean_guess
-        together = self.product - self.ratio * mean_guess
-        slope = together / (spread + TRUST_IN_SLOPE)
-        ratio = self.ratio / (self.count + TRUST_IN_GUESSES) + slope * (guess - mean_guess)
-        return min(max(ratio, -MAX_RATIO), MAX_RATIO)
+    def add(self, estimate: float, ratio: float) -> None:
+        decay = 1.0 - 1.0 / MEMORY_STEPS
+        self.count = decay * self.count + 1.0
+        self.estimate = decay * self.estimate + estimate
+        self.estimate_squared = decay * self.estimate_squared + estimate * estimate
+        self.ratio = decay * self.ratio + ratio
+        self.product = decay * self.product + estimate * ratio
+
+    def ratio_at(self, estimate: float) -> float:
+        """Return the expected logarithm of duration over estimate."""
+        mean_estimate = self.estimate / self.count
+        variance = self.estimate_squared - self.estimate * mean_estimate
+        covariance = self.product - self.ratio * mean_estimate
+        slope = covariance / (variance + SLOPE_REGULARIZATION)
+        ratio = self.ratio / (self.count + ESTIMATE_WEIGHT_STEPS) + slope * (
+            estimate - mean_estimate
+        )
+        return min(max(ratio, -MAX_LOG_RATIO), MAX_LOG_RATIO)
 
 
 class DurationEstimator:
-    """Learns, by queue, how steps' lengths follow their callers' guesses.
+    """Learns for each queue how the durations of steps relate to their callers' estimates.
 
-    Callers guess roughly: for batch jobs lengths were seen to spread by half while guesses
-    spread by their double, and to follow them with a slope of a fifth. A guess taken as it
-    stands calls jobs late that are not, and those in time that are late, so that work
-    without hope was given pace beside standing tasks: these earned 0.015 more of what is
-    owed to them (standard error 0.006, twelve pairs of days) once lengths were learnt.
-    Lengths are fitted to guesses on a logarithmic scale; before anything was seen a guess
-    stands.
+    Callers' estimates are rough. Durations of batch jobs spread by a factor of 1.5 and estimates by
+    a factor of 2, and durations follow the estimates with a slope of 0.2. Used unchanged, the
+    estimates make punctual jobs look late and late jobs punctual, so that jobs without hope of
+    meeting their objective get pace beside standing tasks. With learnt durations standing tasks
+    earn about 1.5 percent more of what is owed to them. Durations are fitted to estimates on a
+    logarithmic scale. Before anything is learnt an estimate is used unchanged.
 
     Attributes:
-        learnt: Steps that it learnt from.
+        learnt: Number of steps learnt from.
     """
 
     def __init__(self) -> None:
@@ -77,36 +78,36 @@
     def __repr__(self) -> str:
         return f"DurationEstimator({len(self._fits)} queues)"
 
-    def learn(self, queue: str, guess_s: float, took_s: float) -> None:
-        """Take in how long a step took.
+    def learn(self, queue: str, estimate_s: float, duration_s: float) -> None:
+        """Learn from the duration of a step.
 
         Args:
-            queue: Its job's queue.
-            guess_s: The caller's guess of one of its tasks, in seconds.
-            took_s: The longest of its tasks, in seconds.
+            queue: Queue of the step's job.
+            estimate_s: The caller's estimate for one of its tasks, in seconds.
+            duration_s: Duration of the longest of its tasks, in seconds.
         """
         self.learnt += 1
-        guess = _log(guess_s)
-        self._fits.setdefault(queue, _Fit()).add(guess, _log(took_s) - guess)
+        estimate = _log(estimate_s)
+        self._fits.setdefault(queue, _Fit()).add(estimate, _log(duration_s) - estimate)
 
-    def expected_s(self, queue: str, guess_s: float) -> float:
-        """Return how long a step is likely to take, in seconds.
+    def expected_s(self, queue: str, estimate_s: float) -> float:
+        """Return the expected duration of a step, in seconds.
 
         Example:
             >>> durations = DurationEstimator()
             >>> durations.expected_s("batch", 2.0)
             2.0
-            >>> for guess_s in (0.5, 1.0, 2.0, 4.0) * 50:
-            ...     durations.learn("batch", guess_s, 3.0)
-            >>> [round(durations.expected_s("batch", guess_s), 1) for guess_s in (0.5, 4.0)]
+            >>> for estimate_s in (0.5, 1.0, 2.0, 4.0) * 50:
+            ...     durations.learn("batch", estimate_s, 3.0)
+            >>> [round(durations.expected_s("batch", estimate_s), 1) for estimate_s in (0.5, 4.0)]
             [2.8, 3.0]
         """
         fit = self._fits.get(queue)
         if fit is None:
-            return guess_s
-        guess = _log(guess_s)
-        return exp(guess + fit.ratio_at(guess))
+            return estimate_s
+        estimate = _log(estimate_s)
+        return exp(estimate + fit.ratio_at(estimate))
 
 
 def _log(seconds: float) -> float:
-    return log(min(max(seconds, MIN_S), MAX_S))
+    return log(min(max(seconds, MIN_DURATION_S), MAX_DURATION_S))
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -1,4 +1,4 @@
-"""Which tasks start now, in what order."""
+"""Plans which tasks start now, and in what order."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from linkspan.shard.attempt import FULL_PACE
 from linkspan.shard.colocation._plan_rooms import PlanRooms
 from linkspan.shard.planning._blocked import blocked_fields
-from linkspan.shard.planning._copies import Copies
 from linkspan.shard.planning._moves import Moves
 from linkspan.shard.planning._plan_view import PlanView
+from linkspan.shard.planning._speculative_copies import SpeculativeCopies
 from linkspan.shard.planning.urgency import urgency
 
 if TYPE_CHECKING:
     from linkspan.shard.attempt import Attempt
     from linkspan.shard.core import ShardCore
     from linkspan.shard.executor import ExecutorState
-    from linkspan.shard.planning._trials import Trials
+    from linkspan.shard.planning._isolation import IsolatedPlacement
     from linkspan.shard.planning.placement import StepPlacement
     from linkspan.shard.step_run import StepRun
     from linkspan.shard.task import Task
 
-STARVED_S = 1.5
-"""Time after which a job with nothing running starts a task wherever there is memory
-for it. The platform counts work as lost that waits for three seconds beside room."""
+STARVATION_S = 1.5
+"""Time after which a job with nothing running starts one task on any executor with enough memory.
+The platform counts work as lost that waits for three seconds while there is capacity."""
 
 
 class Planner:
-    """Turns the state of a shard into starts and stops.
+    """Derives starts and stops from the state of a shard.
 
     Args:
         core: The shard's state.
@@ -53,14 +53,14 @@
         view = PlanView(core, PlanRooms(core.interference, now, wall), now)
         core.release_due(wall, now)
         core.remove_finished_suspects()
-        Moves(view).order()
-        for step, waiting in self._ordered(wall):
+        Moves(view).add_orders()
+        for step, waiting in self._steps_by_urgency(wall):
             if core.may_start(step.run.job, now):
                 self._place_step(step, waiting, view)
-        Copies(view).order()
+        SpeculativeCopies(view).add_orders()
 
-    def _ordered(self, wall: float) -> list[tuple[StepRun, list[Task]]]:
-        """Return the steps to serve, in order, each with its tasks that wait."""
+    def _steps_by_urgency(self, wall: float) -> list[tuple[StepRun, list[Task]]]:
+        """Return the steps with pending tasks by urgency, each with these tasks."""
         ready = self._core.ready
         waiting = []
         for step in list(ready):
@@ -82,25 +82,26 @@
         if not placement.executors:
             return
         if step.run.job.requires_ticket:
-            self._keep_ticketed(placement)
+            self._require_tickets(placement)
             if not placement.executors:
                 self._log(placement, [], len(pending), view)
                 return
         if step.spec.gang:
-            placed = self._place_gang(placement, pending, view.trials())
+            placed = self._place_gang(placement, pending, view.isolated_placement())
         else:
             suspects = [t for t in pending if t.needs_isolation] if self._core.suspects else []
-            trusted = [t for t in pending if not t.needs_isolation] if suspects else pending
-            placed = self._place_each(placement, trusted)
+            others = [t for t in pending if not t.needs_isolation] if suspects else pending
+            placed = self._place_each(placement, others)
             placed += self._place_suspects(placement, suspects, view)
             placed = placed or self._place_starved(placement, pending)
         self._log(placement, placed, len(pending), view)
 
-    def _keep_ticketed(self, placement: StepPlacement) -> None:
-        """Keep to the executors that the queue's policy lets run the step."""
+    def _require_tickets(self, placement: StepPlacement) -> None:
+        """Limit a placement to executors with a valid ticket, and request tickets for the
+        others."""
         step, now, advice = placement.step, placement.now, self._core.advice
         by_room = sorted(placement.executors, key=lambda e: -e.free_cpu)
-        advice.want(step, (e.executor_id for e in by_room), now)
+        advice.request_tickets(step, (e.executor_id for e in by_room), now)
         placement.executors = [
             e for e in placement.executors if advice.ticket(step, e.executor_id, now) is not None
         ]
@@ -114,10 +115,10 @@
         run: int | None = None,
         pace: int = FULL_PACE,
     ) -> Attempt:
-        """Order a start under the step's ticket, if it needs one, and count it in."""
+        """Order a start, with the step's ticket if it needs one, and update the placement."""
         ticket = self._ticket(placement, executor)
         attempt = self._core.place(task, executor, placement.now, ticket=ticket, run=run, pace=pace)
-        placement.took(executor)
+        placement.on_placed(executor)
         return attempt
 
     def _ticket(self, placement: StepPlacement, executor: ExecutorState) -> str:
@@ -129,10 +130,10 @@
     def _place_each(self, placement: StepPlacement, pending: list[Task]) -> list[Attempt]:
         placed = []
         for task in pending:
-            executor = placement.choose(task) or self._second_choice(placement, task)
+            executor = placement.choose(task) or self._choose_avoided(placement, task)
             if executor is None:
                 if not task.avoided_executors:
-                    # Tasks of a step are alike: none of the others fits either.
+                    # Tasks of a step are identical: none of the others fits either.
                     break
                 continue
             pace = placement.pace(executor)
@@ -143,14 +144,14 @@
         self, placement: StepPlacement, suspects: list[Task], view: PlanView
     ) -> list[Attempt]:
         placed = []
-        trials = view.trials()
+        isolation = view.isolated_placement()
         for task in suspects:
-            executor = trials.choose(placement, task)
+            executor = isolation.choose(placement, task)
             if executor is None:
                 continue
-            apart = executor.executor_id not in trials.running()
+            isolated = executor.executor_id not in isolation.running()
             attempt = self._start(placement, task, executor, pace=placement.pace(executor))
-            attempt.isolated = apart
+            attempt.isolated = isolated
             placed.append(attempt)
             if task.at_crash_limit:
                 placement.executors.remove(executor)
@@ -161,7 +162,7 @@
         """Start one best-effort task of a job that has had nothing running for long."""
         step = placement.step
         waited = placement.now - min(task.ready_since for task in pending)
-        if not step.spec.best_effort or waited < STARVED_S:
+        if not step.spec.best_effort or waited < STARVATION_S:
             return []
         if any(True for _ in step.run.job.attempts()):
             return []
@@ -171,43 +172,45 @@
         pace = placement.pace(executor)
         return [self._start(placement, pending[0], executor, pace=pace)]
 
-    def _second_choice(self, placement: StepPlacement, task: Task) -> ExecutorState | None:
-        """Return an avoided executor if no other had room for a while, or there is none."""
-        return placement.choose(task) if placement.forgive(task) else None
+    def _choose_avoided(self, placement: StepPlacement, task: Task) -> ExecutorState | None:
+        """Return an avoided executor if no other one exists or had capacity for a while."""
+        return placement.choose(task) if placement.clear_avoided(task) else None
 
     def _place_gang(
-        self, placement: StepPlacement, pending: list[Task], trials: Trials
+        self, placement: StepPlacement, pending: list[Task], isolation: IsolatedPlacement
     ) -> list[Attempt]:
         if len(pending) < len(placement.step.tasks):
             return []
         run = max(task.next_run for task in pending)
         checkpoint = max((task.checkpoint for task in pending), key=len)
-        progress = placement.step.run
-        begun, dirty = progress.job.begun, self._core.is_dirty(progress)
+        job_run = placement.step.run
+        begun, dirty = job_run.job.begun, self._core.is_dirty(job_run)
         placed: list[Attempt] = []
         orders = len(self._core.orders)
         for task in pending:
             executor = (
-                trials.choose(placement, task) if task.needs_isolation else placement.choose(task)
+                isolation.choose(placement, task)
+                if task.needs_isolation
+                else placement.choose(task)
             )
             if executor is None:
-                self._undo(placement, placed, orders)
+                self._undo_gang(placement, placed, orders)
                 if placed and not begun:
-                    # What counts as begun no longer moves to another hall.
-                    self._core.unmark_begun(progress, dirty=dirty)
+                    # A job that has begun can no longer move to another hall.
+                    self._core.unmark_begun(job_run, dirty=dirty)
                 return []
             task.checkpoint = checkpoint
-            apart = task.needs_isolation and executor.executor_id not in trials.running()
+            isolated = task.needs_isolation and executor.executor_id not in isolation.running()
             attempt = self._start(placement, task, executor, run=run)
-            attempt.isolated = apart
+            attempt.isolated = isolated
             placed.append(attempt)
         return placed
 
-    def _undo(self, placement: StepPlacement, placed: list[Attempt], orders: int) -> None:
+    def _undo_gang(self, placement: StepPlacement, placed: list[Attempt], orders: int) -> None:
         del self._core.orders[orders:]
         for attempt in placed:
             self._core.unplace(attempt)
-            placement.gave_back(self._core.executors[attempt.executor_id])
+            placement.on_unplaced(self._core.executors[attempt.executor_id])
 
     def _log(
         self, placement: StepPlacement, placed: list[Attempt], pending: int, view: PlanView
--- a/src/linkspan/shard/planning/urgency.py
+++ b/src/linkspan/shard/planning/urgency.py
@@ -1,4 +1,4 @@
-"""In what order work is served."""
+"""Defines the order in which steps are served."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 if TYPE_CHECKING:
     from linkspan.shard.step_run import StepRun
 
-HOPELESS_FACTOR = 3.0
-"""Multiple of its objective after which a job goes behind those still in time:
-callers give nothing for an answer that is later than three times the objective."""
+MAX_USEFUL_AGE_FACTOR = 3.0
+"""Multiple of its objective after which a job is served after all jobs that may still be of use:
+callers pay nothing for an answer that is later than three times the objective."""
 
-LATE_SHARE = 0.1
-"""Part of its objective by which a job may be expected to miss it and still counts as
-in time: guesses of running times are rough. A late job earns a seventh."""
+LATENESS_TOLERANCE = 0.1
+"""Share of its objective by which a job may be expected to miss it and still count as in time:
+estimates of durations are rough. A late job earns a seventh."""
 
 
 class Timeliness(IntEnum):
-    """Whether a job can still be of use, the best first."""
+    """Whether a job is expected to meet its objective, the best value first."""
 
     IN_TIME = 0
     LATE = 1
@@ -26,16 +26,16 @@
 
 
 class Urgency(NamedTuple):
-    """What steps are ordered by, lowest first.
+    """Sort key of steps, the most urgent lowest.
 
     Attributes:
-        fresh: Whether it is anything but a standing task that was at work before.
-        priority: Its queue's priority.
+        not_restart: Whether the step is not a restart of a standing task.
+        priority: Priority of the step's queue.
         timeliness: Whether its job can still be in time.
-        rank: Order among equals, the lowest first.
+        rank: Order among steps that are equal otherwise.
     """
 
-    fresh: bool
+    not_restart: bool
     priority: int
     timeliness: Timeliness
     rank: float
@@ -44,58 +44,56 @@
 def urgency(step: StepRun, wall: float) -> Urgency:
     """Return a step's urgency.
 
-    Standing tasks that were at work come first, then priorities, then jobs that
-    can still meet their objective. Among equals the one with the least work left goes
-    first: when room is scarce more jobs end in time than in the order of their slack, and
-    what was begun is finished. Together with learnt lengths that earned 0.032 more of all
-    that is owed (standard error 0.009, over twelve pairs of days that it was not chosen
-    by), batch jobs 0.042 and short ones 0.027; with guesses alone it earned nothing. Jobs
-    without hope go by age, so that none of them waits for ever.
+    Standing tasks that have run before come first, then steps by priority, then jobs that can still
+    meet their objective. Among equals the job with the least remaining work comes first: when
+    capacity is scarce, more jobs end in time than in the order of their slack, and jobs that have
+    begun are finished. With learnt durations this order earns about 3 percent more of what is owed;
+    with callers' estimates alone it gains nothing. Jobs that are too late to be of use are ordered
+    by age, so that none waits forever.
 
-    What runs report as done counts for hope and for work left: a step that is nearly done
-    would otherwise count as not begun, be called late, and give its pace to new work.
-    That earned batch jobs 0.026 more of what is owed to them (standard error 0.016, twelve
-    pairs of days on three deployments), all work 0.012 (0.010).
+    Progress that runs report counts for timeliness and remaining work. Otherwise a nearly finished
+    step would count as not begun, be rated late, and lose its pace to new work, which costs batch
+    jobs 2 to 3 percent of what is owed to them.
 
     Args:
         step: The step.
         wall: Time of day, in seconds since 1970.
     """
     job = step.run.job
-    age, left_s = _times(step, wall)
-    slack = job.objective_s - age - left_s
+    age, remaining_s = _times(step, wall)
+    slack = job.objective_s - age - remaining_s
     restart = step.spec.standing and any(t.pending and t.next_run > 1 for t in step.tasks)
-    hope = _hope(step, age + left_s, slack)
+    timeliness = _timeliness(step, age + remaining_s, slack)
     if step.spec.standing:
-        return Urgency(not restart, job.priority, hope, slack)
-    rank = -age if hope is Timeliness.NONE else step.run.work_left
-    return Urgency(not restart, job.priority, hope, rank)
+        return Urgency(not restart, job.priority, timeliness, slack)
+    rank = -age if timeliness is Timeliness.NONE else step.run.work_left
+    return Urgency(not restart, job.priority, timeliness, rank)
 
 
 def timeliness_of(step: StepRun, wall: float) -> Timeliness:
-    """Return the hope of a step's urgency alone: it needs no sum over the job's steps.
+    """Return only the timeliness of a step's urgency, without the sum over the job's steps.
 
     Args:
         step: The step.
         wall: Time of day, in seconds since 1970.
     """
-    age, left_s = _times(step, wall)
-    return _hope(step, age + left_s, step.run.job.objective_s - age - left_s)
+    age, remaining_s = _times(step, wall)
+    return _timeliness(step, age + remaining_s, step.run.job.objective_s - age - remaining_s)
 
 
 def _times(step: StepRun, wall: float) -> tuple[float, float]:
-    """Return the seconds since a step's repetition was due, and those that it still needs."""
+    """Return the seconds since a step's repetition was due, and the seconds that it still needs."""
     job = step.run.job
     schedule = job.spec.schedule
-    born = schedule.due(step.run.repetition) if schedule else job.submitted.accepted_at
+    due_at = schedule.due(step.run.repetition) if schedule else job.submitted.accepted_at
     done_s = job.expected_durations_s[step.index] * (1.0 - step.share_left)
-    return wall - born, job.remaining_path_s[step.index] - done_s
+    return wall - due_at, job.remaining_path_s[step.index] - done_s
 
 
-def _hope(step: StepRun, ends_s: float, slack: float) -> Timeliness:
+def _timeliness(step: StepRun, age_at_end_s: float, slack: float) -> Timeliness:
     objective_s = step.run.job.objective_s
-    if step.spec.standing or slack >= -LATE_SHARE * objective_s:
+    if step.spec.standing or slack >= -LATENESS_TOLERANCE * objective_s:
         return Timeliness.IN_TIME
-    if ends_s > HOPELESS_FACTOR * objective_s:
+    if age_at_end_s > MAX_USEFUL_AGE_FACTOR * objective_s:
         return Timeliness.NONE
     return Timeliness.LATE
--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -18,14 +18,14 @@
 def _choose(placement: StepPlacement, task: Task, *, starved: bool = False) -> ExecutorState | None:
     """Choose as the placement does, with each executor looked at anew."""
     best, best_score = None, float("inf")
-    fill = placement._may_fill(task)
+    fill = placement._may_use_headroom(task)
     for executor in placement.executors:
         if executor.executor_id in task.avoided_executors:
             continue
-        if placement.reason_against(executor, fill=fill, starved=starved) is not None:
+        if placement.reason_against(executor, use_headroom=fill, starved=starved) is not None:
             continue
         placed = placement._on_executor[executor.executor_id]
-        score = placement.scores.of(executor, placed=placed)
+        score = placement.scores.score(executor, placed=placed)
         if score < best_score:
             best, best_score = executor, score
     return best
--- a/tests/shard/test_advice.py
+++ b/tests/shard/test_advice.py
@@ -24,29 +24,29 @@
 
 def test_an_executor_that_was_refused_is_not_asked_for_again() -> None:
     advice, run = advised()
-    advice.want(run, ["e0", "e1"], 0.0)
+    advice.request_tickets(run, ["e0", "e1"], 0.0)
     call = advice.next_call(0.0)
     assert call and call.executor_ids == ("e0", "e1")
-    advice.on_advice(call, Advice({"e1": "t"}, VALID_S), asked=0.0, valid_s=0.0)
+    advice.on_advice(call, Advice({"e1": "t"}, VALID_S), sent_at=0.0, valid_s=0.0)
     assert advice.ticket(run, "e1", 1.0) == "t"
-    advice.want(run, ["e0", "e1"], 1.0)
+    advice.request_tickets(run, ["e0", "e1"], 1.0)
     assert advice.next_call(1.0) is None
 
 
 def test_a_ticket_is_asked_for_again_before_it_ends() -> None:
     advice, run = advised()
-    advice.want(run, ["e0"], 0.0)
+    advice.request_tickets(run, ["e0"], 0.0)
     call = advice.next_call(0.0)
     assert call
-    advice.on_advice(call, Advice({"e0": "t"}, 0.0), asked=0.0, valid_s=VALID_S)
+    advice.on_advice(call, Advice({"e0": "t"}, 0.0), sent_at=0.0, valid_s=VALID_S)
     assert advice.ticket(run, "e0", VALID_S) is None
-    advice.want(run, ["e0"], VALID_S)
+    advice.request_tickets(run, ["e0"], VALID_S)
     assert advice.next_call(VALID_S) == call
 
 
 def test_a_call_that_failed_is_made_again_after_a_pause() -> None:
     advice, run = advised()
-    advice.want(run, ["e0"], 0.0)
+    advice.request_tickets(run, ["e0"], 0.0)
     call = advice.next_call(0.0)
     assert call
     advice.on_failed(call, 0.0)
@@ -57,8 +57,8 @@
 def test_a_call_that_fails_does_not_hold_up_other_steps() -> None:
     core = core_with(step(1), step(1))
     advice, (first, second) = core.advice, core.jobs[JOB].runs[0].steps
-    advice.want(first, ["e0"], 0.0)
-    advice.want(second, ["e0"], 0.0)
+    advice.request_tickets(first, ["e0"], 0.0)
+    advice.request_tickets(second, ["e0"], 0.0)
     call = advice.next_call(0.0)
     assert call and call.step is first
     advice.on_failed(call, 0.0)
@@ -68,7 +68,7 @@
 
 def test_a_job_that_moved_away_is_not_asked_for() -> None:
     core = core_with(step(1))
-    core.advice.want(core.jobs[JOB].runs[0].steps[0], ["e0"], 0.0)
+    core.advice.request_tickets(core.jobs[JOB].runs[0].steps[0], ["e0"], 0.0)
     core.remove_moved(JOB)
     assert core.advice.next_call(0.0) is None
 
@@ -80,7 +80,7 @@
     assert plan(core, 0.1) == []
     call = core.advice.next_call(0.1)
     assert call and set(call.executor_ids) == {"e0", "e1"}
-    core.advice.on_advice(call, Advice({"e1": "t"}, VALID_S), asked=0.1, valid_s=VALID_S)
+    core.advice.on_advice(call, Advice({"e1": "t"}, VALID_S), sent_at=0.1, valid_s=VALID_S)
     orders = plan(core, 0.2)
     assert {(order.executor_id, order.ticket) for order in orders} == {("e1", "t")}
 
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -25,7 +25,7 @@
     TaskName,
 )
 from linkspan.shard.orders._orders import MAX_START_DELAY_S
-from linkspan.shard.planning.placement import AVOID_S
+from linkspan.shard.planning.placement import FAILED_EXECUTOR_AVOIDANCE_S
 from linkspan.shard.recovery.progress import encode_run
 from tests.job_builders import QUEUE, step
 from tests.shard.builders import JOB, add_executor, core_with, plan, report, started, submitted
@@ -310,7 +310,7 @@
     end = EndedTask(1, order.task, order.run, EndKind.FAILED, "")
     report(core, order.executor_id, end, asked=0.4, now=1.0)
     assert plan(core, 1.1) == []
-    (again,) = plan(core, 1.1 + AVOID_S)
+    (again,) = plan(core, 1.1 + FAILED_EXECUTOR_AVOIDANCE_S)
     assert again.executor_id == order.executor_id
 
 
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -11,7 +11,7 @@
 from linkspan.shard.core import ShardCore
 from linkspan.shard.crash_history import CrashHistory, add_crash
 from linkspan.shard.messages import ExecutorReport
-from linkspan.shard.planning._trials import LAST_WAIT_S
+from linkspan.shard.planning._isolation import MAX_AT_LIMIT_WAIT_S
 from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.hall_world import HallWorld
@@ -194,8 +194,8 @@
     place(core, core.executors["e0"], cpu=8_000, standing=True)
     core.set_crash_history(task, CrashHistory(3, 7, 0, (Crash("e1", 1, 2, address="e1:1"),)))
     core.jobs[JOB].runs[0].durable = float("inf")
-    assert plan(core, LAST_WAIT_S - 0.1) == []
-    (order,) = plan(core, LAST_WAIT_S + 0.1)
+    assert plan(core, MAX_AT_LIMIT_WAIT_S - 0.1) == []
+    (order,) = plan(core, MAX_AT_LIMIT_WAIT_S + 0.1)
     assert order.executor_id == "e1"
 
 
--- a/tests/shard/test_steps_that_fit_nowhere.py
+++ b/tests/shard/test_steps_that_fit_nowhere.py
@@ -10,7 +10,7 @@
 from linkspan.jobs.spec import Demand
 from linkspan.shard.core import ShardCore
 from linkspan.shard.executor import ExecutorState
-from linkspan.shard.planning._free_room import FreeRoom, RoomGroup
+from linkspan.shard.planning._free_room import ExecutorGroup, FreeRoom
 from linkspan.shard.planning.placement import StepPlacement
 from linkspan.shard.planning.planner import Planner
 from tests.job_builders import step
@@ -31,11 +31,11 @@
             placement: StepPlacement,
             executor: ExecutorState,
             *,
-            fill: bool = False,
+            use_headroom: bool = False,
             starved: bool = False,
         ) -> str | None:
             self.asked += 1
-            return reason_against(placement, executor, fill=fill, starved=starved)
+            return reason_against(placement, executor, use_headroom=use_headroom, starved=starved)
 
         monkeypatch.setattr(StepPlacement, "reason_against", counted)
 
@@ -89,7 +89,7 @@
     """Guards against steps placed by what was free before the steps ahead of them."""
     starts = plan(drawn_hall(seed), 4.0)
 
-    def all_of_them(free: FreeRoom, group: RoomGroup, _demand: Demand, _cores: float) -> Any:
+    def all_of_them(free: FreeRoom, group: ExecutorGroup, _demand: Demand, _cores: float) -> Any:
         return [row[0] for row in free._rows(group).values()]
 
     monkeypatch.setattr(FreeRoom, "enough", all_of_them)
