--- a/src/linkspan/shard/colocation/__init__.py
+++ b/src/linkspan/shard/colocation/__init__.py
@@ -1,1 +1,1 @@
-"""What best-effort work does to standing tasks beside it, and how much they still bear."""
+"""Interference of best-effort work with colocated standing tasks, and the pace that limits it."""
--- a/src/linkspan/shard/colocation/_effect_selector.py
+++ b/src/linkspan/shard/colocation/_effect_selector.py
@@ -1,4 +1,4 @@
-"""Which learnt effects an owner tells next, so that its news stay short."""
+"""Selects which learnt effects an owner publishes next, to keep its records short."""
 
 from __future__ import annotations
 
@@ -13,46 +13,54 @@
 
     Pair = tuple[str, str]
 
-TOLD_IN_TURN = 12
-"""Effects told at once because it is their turn. A hall of 16 standing images beside 30
-best-effort ones knows some 300 pairs: all are told within half a minute, in which hosts that
-start learn them, and each telling takes half a kilobyte of what every host reads."""
+MAX_PUBLISHED_IN_TURN = 12
+"""Limits the effects published at once because their last publication is the oldest. A hall of 16
+standing images with 30 best-effort ones knows about 300 pairs. All are published within half a
+minute, so hosts that start learn them in that time. Each publication adds half a kilobyte to what
+every host reads."""
 
-TOLD_AS_CHANGED = 12
-"""Effects told at once because they changed most since they were last told."""
+MAX_PUBLISHED_AS_CHANGED = 12
+"""Limits the effects published at once because they changed most since their last publication."""
 
 
 class EffectSelector:
-    """Chooses effects by turns and by how much they changed."""
+    """Selects effects by the age of their last publication and by how much they changed."""
 
     def __init__(self) -> None:
-        self._told: dict[Pair, PairEffect] = {}
+        self._published: dict[Pair, PairEffect] = {}
 
     def __repr__(self) -> str:
-        return f"EffectSelector({len(self._told)} told)"
+        return f"EffectSelector({len(self._published)} told)"
 
     def select(self, effects: Iterable[PairEffect]) -> tuple[PairEffect, ...]:
-        """Return what to tell now, and count it as told.
+        """Return the effects to publish now, and mark them as published.
 
         Args:
-            effects: All that is known at present.
+            effects: All effects known at present.
         """
         known = {(effect.standing, effect.image): effect for effect in effects}
-        # The longest untold go first: each telling puts its pairs at the end.
-        self._told = {pair: told for pair, told in self._told.items() if pair in known}
-        order = [*(pair for pair in known if pair not in self._told), *self._told]
-        rest = order[TOLD_IN_TURN:]
-        changed = heapq.nlargest(TOLD_AS_CHANGED, rest, lambda pair: self._change(known[pair]))
-        chosen = [*order[:TOLD_IN_TURN], *changed]
+        # Never or least recently published pairs come first: publishing moves pairs to the end.
+        self._published = {
+            pair: published for pair, published in self._published.items() if pair in known
+        }
+        order = [*(pair for pair in known if pair not in self._published), *self._published]
+        others = order[MAX_PUBLISHED_IN_TURN:]
+        changed = heapq.nlargest(
+            MAX_PUBLISHED_AS_CHANGED, others, lambda pair: self._change(known[pair])
+        )
+        chosen = [*order[:MAX_PUBLISHED_IN_TURN], *changed]
         for pair in chosen:
-            self._told.pop(pair, None)
-            self._told[pair] = known[pair]
+            self._published.pop(pair, None)
+            self._published[pair] = known[pair]
         return tuple(known[pair] for pair in chosen)
 
     def _change(self, effect: PairEffect) -> float:
-        """Return by how much pressure others are wrong or in doubt for lack of this news."""
-        told = self._told.get((effect.standing, effect.image))
-        if told is None:
+        """Return how far other owners' knowledge of an effect is off without this publication.
+
+        The distance is the change of the mean plus the decrease of the standard deviation.
+        """
+        published = self._published.get((effect.standing, effect.image))
+        if published is None:
             return float("inf")
-        doubt = max(sqrt(told.variance) - sqrt(effect.variance), 0.0)
-        return abs(effect.mean - told.mean) + doubt
+        uncertainty = max(sqrt(published.variance) - sqrt(effect.variance), 0.0)
+        return abs(effect.mean - published.mean) + uncertainty
--- a/src/linkspan/shard/colocation/_plan_rooms.py
+++ b/src/linkspan/shard/colocation/_plan_rooms.py
@@ -1,4 +1,4 @@
-"""What standing tasks bear during one plan, by the hope of the work beside them."""
+"""Capacity for best-effort work during one plan, by the timeliness of the work."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.step_run import StepRun
 
-STANDING_USE = 0.55
-"""Share of their reservation that reserved tasks use at a time, for reckoning what
-is left to best-effort tasks; measured on calm days, where it was 0.45 to 0.7."""
+STANDING_USE_SHARE = 0.55
+"""Share of their reservation that reserved tasks are assumed to use at a time, for computing the
+unused cores. On calm days it is 0.45 to 0.7."""
 
-NONE_LEFT = float("-inf")
+NO_UNUSED_CPU = float("-inf")
 """Unused cores of an executor where a standing task is over its latency target."""
 
 
 class PlanRooms:
-    """Rooms of executors during one plan.
+    """Caches how much best-effort work the executors can take during one plan.
 
-    Work of less hope is not counted: it gives way to a task of more.
+    Best-effort work of lower timeliness is not counted, as it gives way to work of higher
+    timeliness.
 
     Args:
-        interference: What is known of pairs of images.
+        interference: Estimated interference between pairs of images.
         now: Steady time.
         wall: Time of day, in seconds since 1970, for urgency.
     """
@@ -35,54 +36,60 @@
         self._interference = interference
         self._now = now
         self._wall = wall
-        self._rooms: dict[tuple[str, Timeliness], PressureRoom] = {}
-        self._hopes: dict[StepRun, Timeliness] = {}
+        self._pressure_rooms: dict[tuple[str, Timeliness], PressureRoom] = {}
+        self._timeliness: dict[StepRun, Timeliness] = {}
         self._unused: dict[str, float] = {}
 
     def __repr__(self) -> str:
-        return f"PlanRooms({len(self._rooms)})"
+        return f"PlanRooms({len(self._pressure_rooms)})"
 
     def share(self, executor: ExecutorState, step: StepRun) -> float:
-        """Return the share of full speed at which one more task of a step may work there."""
-        return self._of(executor, step).share(step.spec)
+        """Return the share of full speed at which an executor can run one more task of a step."""
+        return self._pressure_room(executor, step).share(step.spec)
 
     def changed(self, executor: ExecutorState) -> None:
-        """Take in that something was placed on an executor."""
-        for hope in Timeliness:
-            self._rooms.pop((executor.executor_id, hope), None)
+        """Discard cached values of an executor after a placement there was made or undone."""
+        for timeliness in Timeliness:
+            self._pressure_rooms.pop((executor.executor_id, timeliness), None)
         self._unused.pop(executor.executor_id, None)
 
     def unused_cpu(self, executor: ExecutorState) -> float:
-        """Return thousandths of a core that best-effort tasks would find unused there.
+        """Return thousandths of a core that best-effort tasks would find unused on an executor.
 
-        None where a standing task is over its target: a new run starts at full speed,
-        whatever its neighbours were slowed to.
+        Returns :data:`NO_UNUSED_CPU` where a standing task is over its target: a new run starts at
+        full speed, even if the colocated best-effort runs have been slowed down.
         """
         unused = self._unused.get(executor.record.executor_id)
         if unused is None:
-            unused = NONE_LEFT if executor.disturbed else leftover_cpu(executor)
+            unused = NO_UNUSED_CPU if executor.disturbed else remaining_cpu(executor)
             self._unused[executor.record.executor_id] = unused
         return unused
 
-    def _of(self, executor: ExecutorState, step: StepRun) -> PressureRoom:
-        """Return the room that an executor has for a step's tasks."""
-        hope = self.hope(step)
-        key = executor.executor_id, hope
-        room = self._rooms.get(key)
+    def _pressure_room(self, executor: ExecutorState, step: StepRun) -> PressureRoom:
+        """Return the pressure that standing tasks there still tolerate from a step's tasks."""
+        timeliness = self.timeliness(step)
+        key = executor.executor_id, timeliness
+        room = self._pressure_rooms.get(key)
         if room is None:
-            beside = (a for a in executor.best_effort_attempts() if self.hope(a.task.step) <= hope)
-            room = self._rooms[key] = PressureRoom(executor, self._interference, self._now, beside)
+            best_effort = (
+                a
+                for a in executor.best_effort_attempts()
+                if self.timeliness(a.task.step) <= timeliness
+            )
+            room = self._pressure_rooms[key] = PressureRoom(
+                executor, self._interference, self._now, best_effort
+            )
         return room
 
-    def hope(self, step: StepRun) -> Timeliness:
-        """Return a step's hope, which no placement of a plan changes."""
-        hope = self._hopes.get(step)
-        if hope is None:
-            hope = self._hopes[step] = timeliness_of(step, self._wall)
-        return hope
+    def timeliness(self, step: StepRun) -> Timeliness:
+        """Return a step's timeliness, which no placement of a plan changes."""
+        timeliness = self._timeliness.get(step)
+        if timeliness is None:
+            timeliness = self._timeliness[step] = timeliness_of(step, self._wall)
+        return timeliness
 
 
-def leftover_cpu(executor: ExecutorState) -> float:
-    """Return thousandths of a core that best-effort tasks would find unused."""
-    used = STANDING_USE * executor.reserved_cpu + executor.paced_cpu
+def remaining_cpu(executor: ExecutorState) -> float:
+    """Return thousandths of a core that reserved and best-effort tasks leave unused."""
+    used = STANDING_USE_SHARE * executor.reserved_cpu + executor.paced_cpu
     return executor.record.capacity.milli_cpu - used
--- a/src/linkspan/shard/colocation/_pressure_room.py
+++ b/src/linkspan/shard/colocation/_pressure_room.py
@@ -1,4 +1,4 @@
-"""How much pressure the standing tasks of an executor still bear."""
+"""Computes how much more pressure the standing tasks of an executor tolerate."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
     from linkspan.shard.colocation.interference import InterferenceEstimator
     from linkspan.shard.executor import ExecutorState
 
-AIM_PRESSURE = 0.805
-"""Pressure up to which best-effort tasks are placed, and given pace, beside a standing one;
-its target is at 0.83, and loads are foreseen to about 0.04."""
+MAX_PLACEMENT_PRESSURE = 0.805
+"""Limits the pressure on a standing task up to which colocated best-effort tasks are placed and
+their pace is raised. The latency target is reached at 0.83, and loads are predicted to about
+0.04."""
 
-KEPT_PRESSURE = 0.83
-"""Pressure up to which they keep the pace that they have: just under the target, so that
-the error of what is foreseen slows nobody down."""
+MAX_KEPT_PACE_PRESSURE = 0.83
+"""Limits the pressure up to which best-effort tasks keep their current pace: just under the latency
+target, so that prediction errors slow nothing down."""
 
-INNOCENT_PRESSURE = 0.02
-"""Pressure that a task adds at most, as believed, to count as innocent: less than the
-noise of one figure tells apart."""
+MAX_NEGLIGIBLE_PRESSURE = 0.02
+"""Limits the estimated pressure of a task that is never slowed down: less than the noise of one
+measurement."""
 
 
 class PressureRoom:
-    """Room that the standing tasks of one executor leave to best-effort ones.
+    """Pressure that the standing tasks of one executor still tolerate from best-effort tasks.
 
     Args:
         executor: The executor.
-        interference: What is known of pairs of images.
+        interference: Estimated interference between pairs of images.
         now: Steady time.
-        beside: Best-effort attempts that use part of the room at their present pace.
-        limit: Pressure up to which there is room.
+        best_effort: Best-effort attempts that already add pressure, at their current pace.
+        limit: Limit of the pressure on a standing task.
     """
 
     def __init__(
@@ -43,40 +44,40 @@
         executor: ExecutorState,
         interference: InterferenceEstimator,
         now: float,
-        beside: Iterable[Attempt] = (),
+        best_effort: Iterable[Attempt] = (),
         *,
-        limit: float = AIM_PRESSURE,
+        limit: float = MAX_PLACEMENT_PRESSURE,
     ) -> None:
         self._executor = executor
         self._interference = interference
-        self._rooms: dict[str, float] = {}
+        self._remaining: dict[str, float] = {}
         for attempt in executor.standing():
             image = attempt.task.step.spec.image
-            left = limit - interference.load(attempt, now)
-            self._rooms[image] = min(left, self._rooms.get(image, left))
-        for attempt in beside:
-            self.take(attempt.task.step.spec, attempt.pace / 100)
+            remaining = limit - interference.load(attempt, now)
+            self._remaining[image] = min(remaining, self._remaining.get(image, remaining))
+        for attempt in best_effort:
+            self.add(attempt.task.step.spec, attempt.pace / 100)
 
     def __repr__(self) -> str:
-        return f"PressureRoom({self._executor.executor_id!r}, {self._rooms})"
+        return f"PressureRoom({self._executor.executor_id!r}, {self._remaining})"
 
     @property
-    def overdrawn(self) -> bool:
-        """Whether a standing task is expected to be under more pressure than the limit."""
-        return any(left < 0.0 for left in self._rooms.values())
+    def is_exceeded(self) -> bool:
+        """Whether the expected pressure on a standing task exceeds the limit."""
+        return any(remaining < 0.0 for remaining in self._remaining.values())
 
     def share(self, spec: StepSpec) -> float:
-        """Return the share of full speed at which one more task may work, 0 to 1."""
+        """Return the share of full speed at which one more task may run, 0 to 1."""
         cores = scaled_cores(self._executor, spec.demand.milli_cpu)
         share = 1.0
-        for image, left in self._rooms.items():
-            part = self._interference.effect(image, spec.image) * cores
-            if part > INNOCENT_PRESSURE:
-                share = min(share, max(left, 0.0) / part)
+        for image, remaining in self._remaining.items():
+            added = self._interference.effect(image, spec.image) * cores
+            if added > MAX_NEGLIGIBLE_PRESSURE:
+                share = min(share, max(remaining, 0.0) / added)
         return share
 
-    def take(self, spec: StepSpec, share: float) -> None:
-        """Count a task in that works at a share of full speed."""
+    def add(self, spec: StepSpec, share: float) -> None:
+        """Add the pressure of a task that runs at a share of full speed."""
         cores = share * scaled_cores(self._executor, spec.demand.milli_cpu)
-        for image in self._rooms:
-            self._rooms[image] -= self._interference.effect(image, spec.image) * cores
+        for image in self._remaining:
+            self._remaining[image] -= self._interference.effect(image, spec.image) * cores
--- a/src/linkspan/shard/colocation/_trend.py
+++ b/src/linkspan/shard/colocation/_trend.py
@@ -1,29 +1,29 @@
-"""A value that drifts, followed with its slope by a Kalman filter."""
+"""Tracks a drifting value and its slope with a Kalman filter."""
 
 from __future__ import annotations
 
 LEVEL_DRIFT_PER_S = 0.0005
-"""Growth of the level's variance in a second, beside what the slope brings: services
-were seen to follow their slope closely."""
+"""Growth of the level's variance per second, in addition to the part from the slope: services
+follow their slope closely."""
 
 SLOPE_DRIFT_PER_S = 0.01
-"""Growth of the slope's variance in a second: loads were seen to swing by half within
-five seconds and back, which bends by 0.07 in a second squared."""
+"""Growth of the slope's variance per second. Loads swing by half within five seconds and back,
+which changes the slope by 0.07 per second."""
 
-MAX_STEP_S = 2.0
-"""Longest time over which a slope is carried on; past that only the doubt grows."""
+MAX_EXTRAPOLATION_S = 2.0
+"""Limits the time over which a slope is extrapolated; beyond it only the variance grows."""
 
-FIRST_SLOPE_VARIANCE = 0.1**2
-"""How far a slope may be from zero at first, squared: the steepest seen was 0.15."""
+INITIAL_SLOPE_VARIANCE = 0.1**2
+"""Initial variance of the slope: the steepest slopes are 0.15 per second."""
 
 
 class Trend:
     """Level and slope of a value.
 
     Args:
-        level: First guess.
-        variance: How far that may be off, squared.
-        at: Time of the guess, in seconds.
+        level: Initial estimate.
+        variance: Variance of the initial estimate.
+        at: Time of the initial estimate, in seconds.
     """
 
     __slots__ = ("_at", "_cross", "_level", "_slope", "_slope_variance", "_variance")
@@ -32,7 +32,7 @@
         self._level = level
         self._slope = 0.0
         self._variance = variance
-        self._slope_variance = FIRST_SLOPE_VARIANCE
+        self._slope_variance = INITIAL_SLOPE_VARIANCE
         self._cross = 0.0
         self._at = at
 
@@ -41,11 +41,11 @@
 
     @property
     def variance(self) -> float:
-        """How far the level may be off, squared."""
+        """Variance of the level."""
         return self._variance
 
     def at(self, time_s: float) -> float:
-        """Return the value to expect at a time.
+        """Return the expected value at a time.
 
         Example:
             >>> trend = Trend(0.5, 0.1, 0.0)
@@ -55,27 +55,27 @@
             >>> round(trend.at(10.0), 2)
             0.6
         """
-        ahead = min(max(time_s - self._at, 0.0), MAX_STEP_S)
-        return max(self._level + self._slope * ahead, 0.0)
+        ahead_s = min(max(time_s - self._at, 0.0), MAX_EXTRAPOLATION_S)
+        return max(self._level + self._slope * ahead_s, 0.0)
 
     def advance(self, time_s: float) -> None:
-        """Carry the value on to a time."""
-        step = time_s - self._at
-        if step <= 0.0:
+        """Extrapolate the level and its variance to a time."""
+        step_s = time_s - self._at
+        if step_s <= 0.0:
             return
-        ahead = min(step, MAX_STEP_S)
-        self._level = max(self._level + self._slope * ahead, 0.0)
-        self._variance += 2 * ahead * self._cross + ahead * ahead * self._slope_variance
-        self._variance += LEVEL_DRIFT_PER_S * step
-        self._cross += ahead * self._slope_variance
-        self._slope_variance += SLOPE_DRIFT_PER_S * step
+        ahead_s = min(step_s, MAX_EXTRAPOLATION_S)
+        self._level = max(self._level + self._slope * ahead_s, 0.0)
+        self._variance += 2 * ahead_s * self._cross + ahead_s * ahead_s * self._slope_variance
+        self._variance += LEVEL_DRIFT_PER_S * step_s
+        self._cross += ahead_s * self._slope_variance
+        self._slope_variance += SLOPE_DRIFT_PER_S * step_s
         self._at = time_s
 
     def correct(self, error: float, total_variance: float) -> None:
-        """Take in a measurement.
+        """Apply a measurement.
 
         Args:
-            error: What was measured less what was expected.
+            error: Measured minus expected value.
             total_variance: Variance of that error.
         """
         gain = self._variance / total_variance
--- a/src/linkspan/shard/colocation/interference.py
+++ b/src/linkspan/shard/colocation/interference.py
@@ -1,13 +1,11 @@
-"""Which best-effort work disturbs which standing tasks, learnt from their figures.
-
-A standing task's tail latency stays low until the pressure on it nears what it can
-bear, and then rises many times over, as a queue's does: latency = unloaded latency /
-(1 - pressure). The pressure is the task's own load and a part for each core that
-best-effort work uses beside it. Replicas of one service share its callers, so the own
-load is learnt for all tasks of a step together, with its trend. So figures are turned
-into pressures, in which effects add up, and these are learnt.
-(``placement.interference`` learns effects that add up in latency itself; the first
-plays showed that here they do not.)
+"""Learns from measurements how much best-effort work interferes with standing tasks.
+
+A standing task's tail latency stays low until the pressure on the task approaches its limit, and
+then rises many times over, as in a queue: latency = unloaded latency / (1 - pressure). The pressure
+is the task's own load plus a part for each core that colocated best-effort work uses. Replicas of
+one service share its callers, so the own load is learnt for all tasks of a step together, with its
+trend. Latencies are converted to pressures, in which effects add up. (``placement.interference``
+learns effects that add up in latency itself, which does not hold here.)
 """
 
 from __future__ import annotations
@@ -25,75 +23,78 @@
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.step_run import StepRun
 
-SAMPLE_S = 0.45
-"""Least time between two figures that are learnt from: each covers half a second."""
+MIN_MEASUREMENT_INTERVAL_S = 0.45
+"""Minimum time between two measurements that are learnt from: each covers half a second."""
 
 REFERENCE_MILLI_CPU = 32_000
-"""Size of executor to which effects are scaled: a core of a larger one disturbs
-less in proportion."""
+"""Size of executor to which effects are scaled: a core of a larger executor interferes
+proportionally less."""
 
-UNLOADED = 0.17
-"""Latency over target of a standing task with nothing to do. The least figures seen
-on calm days were 0.2, at a quarter of the load."""
+UNLOADED_LATENCY_RATIO = 0.17
+"""Latency over target of an idle standing task. The lowest measurements on calm days are 0.2, at a
+quarter of the load."""
 
 MAX_PRESSURE = 0.97
-"""Pressure from which figures no longer tell how far over it is."""
+"""Limits the pressure derived from a measurement: above it, latency no longer shows how far the
+task is overloaded."""
 
 PRIOR_EFFECT = 0.015
-"""Pressure that a core of an unknown image is taken to add."""
+"""Assumed pressure of one core of an unknown image."""
 
 PRIOR_EFFECT_VARIANCE = 0.04**2
-"""How far that may be off, squared: known effects go up to 0.2."""
+"""Variance of that assumption: known effects go up to 0.2."""
 
 PRIOR_LOAD = 0.5
-"""Pressure that an unknown standing task's own load is taken to make."""
+"""Assumed pressure of an unknown standing task's own load."""
 
-LOAD_VARIANCE = 0.15**2
-"""How far that may be off, squared; own loads swing by half."""
+PRIOR_LOAD_VARIANCE = 0.15**2
+"""Variance of that assumption: own loads swing by half."""
 
-FIGURE_AGE_S = 0.25
-"""Age of a figure when it is read, in seconds: it covers the half second before."""
+MEASUREMENT_AGE_S = 0.25
+"""Age of a measurement when it is read: it covers the half second before."""
 
-PLAN_AHEAD_S = 0.6
-"""How far ahead loads are looked at: a pace is set again after half a second."""
+LOAD_PREDICTION_S = 0.6
+"""Time over which loads are predicted: a pace is set again after half a second."""
 
 EFFECT_DRIFT_PER_S = 0.00002
-"""Growth of an effect's variance in a second: effects change, too."""
+"""Growth of an effect's variance per second, as effects change over time."""
 
-FIGURE_VARIANCE = 0.08**2
-"""Noise of one figure, squared: tasks of one step were seen to differ by 0.07."""
+MEASUREMENT_VARIANCE = 0.08**2
+"""Noise variance of one measurement: tasks of one step differ by 0.07."""
 
-TELLING_VARIANCE = 0.5 * PRIOR_EFFECT_VARIANCE
-"""Variance below which an effect is worth telling others."""
+MAX_PUBLISHED_VARIANCE = 0.5 * PRIOR_EFFECT_VARIANCE
+"""Limits the variance of effects that are published to other owners."""
 
-ADOPTED_FACTOR = 2.0
-"""Growth of the variance of an effect that another hall learnt."""
+ADOPTED_VARIANCE_FACTOR = 2.0
+"""Factor on the variance of an effect that another hall learnt."""
 
 
 def pressure_of(ratio: float) -> float:
-    """Return the pressure that a latency over target tells of.
+    """Return the pressure that corresponds to a latency over target.
 
     Example:
         >>> [round(pressure_of(r), 2) for r in (0.17, 0.34, 1.0, 17.0)]
         [0.0, 0.5, 0.83, 0.97]
     """
-    return min(max(1.0 - UNLOADED / max(ratio, UNLOADED), 0.0), MAX_PRESSURE)
+    return min(
+        max(1.0 - UNLOADED_LATENCY_RATIO / max(ratio, UNLOADED_LATENCY_RATIO), 0.0), MAX_PRESSURE
+    )
 
 
 @dataclass(slots=True)
 class _Estimate:
-    """A mean with its variance and the time of its last change."""
+    """A mean with its variance and the time of its last update."""
 
     mean: float
     variance: float
-    at: float
+    updated_at: float
 
 
 class InterferenceEstimator:
-    """Learns the pressure that each image puts on each standing image.
+    """Learns the pressure that each best-effort image adds to each standing image.
 
-    A Kalman filter with a diagonal covariance: each figure corrects the step's own
-    load and the effects of what ran beside it, by how uncertain each is.
+    A Kalman filter with a diagonal covariance: each measurement corrects the step's own load and
+    the effects of the colocated images, each in proportion to its uncertainty.
     """
 
     def __init__(self) -> None:
@@ -105,16 +106,16 @@
         return f"InterferenceEstimator({len(self._effects)} pairs)"
 
     def learn(self, executor: ExecutorState, now: float) -> None:
-        """Take in the newest figures of an executor."""
+        """Learn from the latest measurements of an executor."""
         last = self._learnt_at.get(executor.executor_id, float("-inf"))
-        if now - last < SAMPLE_S:
+        if now - last < MIN_MEASUREMENT_INTERVAL_S:
             return
         self._learnt_at[executor.executor_id] = now
         cores = _cores_in_use(executor)
         for attempt in executor.standing():
             ratio = latency_ratio(attempt)
             if ratio is not None:
-                self._correct(attempt, cores, pressure_of(ratio), now - FIGURE_AGE_S)
+                self._correct(attempt, cores, pressure_of(ratio), now - MEASUREMENT_AGE_S)
 
     def _correct(
         self, attempt: Attempt, cores: Mapping[str, float], pressure: float, now: float
@@ -126,7 +127,7 @@
         if pressure >= MAX_PRESSURE and expected >= pressure:
             return
         error = pressure - expected
-        total = load.variance + FIGURE_VARIANCE
+        total = load.variance + MEASUREMENT_VARIANCE
         total += sum(effect.variance * n * n for effect, n in effects)
         load.correct(error, total)
         for estimate, n in effects:
@@ -137,7 +138,7 @@
     def _load(self, attempt: Attempt, now: float) -> Trend:
         load = self._loads.get(attempt.task.step)
         if load is None:
-            load = self._loads[attempt.task.step] = Trend(PRIOR_LOAD, LOAD_VARIANCE, now)
+            load = self._loads[attempt.task.step] = Trend(PRIOR_LOAD, PRIOR_LOAD_VARIANCE, now)
         load.advance(now)
         return load
 
@@ -146,62 +147,64 @@
         if effect is None:
             effect = _Estimate(PRIOR_EFFECT, PRIOR_EFFECT_VARIANCE, now)
             self._effects[(standing, image)] = effect
-        # A figure is of a time before it was read, and the effect may have been adopted since.
-        age_s = max(now - effect.at, 0.0)
+        # A measurement predates its reading, and the effect may have been adopted in between.
+        age_s = max(now - effect.updated_at, 0.0)
         effect.variance = min(effect.variance + EFFECT_DRIFT_PER_S * age_s, PRIOR_EFFECT_VARIANCE)
-        effect.at = max(effect.at, now)
+        effect.updated_at = max(effect.updated_at, now)
         return effect
 
     def effect(self, standing: str, image: str) -> float:
-        """Return the pressure that one scaled core of an image is believed to add."""
+        """Return the estimated pressure that one scaled core of an image adds."""
         effect = self._effects.get((standing, image))
         return effect.mean if effect else PRIOR_EFFECT
 
     def load(self, attempt: Attempt, now: float) -> float:
-        """Return the most pressure that a standing task's own load is soon to make."""
+        """Return the maximum pressure of a standing task's own load, now or soon."""
         load = self._loads.get(attempt.task.step)
         if load is None:
             return PRIOR_LOAD
-        return max(load.at(now), load.at(now + PLAN_AHEAD_S))
+        return max(load.at(now), load.at(now + LOAD_PREDICTION_S))
 
     def worst_added(self, executor: ExecutorState, image: str, milli_cpu: float) -> float:
-        """Return the most pressure that best-effort work adds to a task there."""
+        """Return the maximum pressure that best-effort work would add to a standing task there."""
         cores = scaled_cores(executor, milli_cpu)
         images = {a.task.step.spec.image for a in executor.standing()}
         return max((self.effect(standing, image) * cores for standing in images), default=0.0)
 
     def effects(self) -> tuple[PairEffect, ...]:
-        """Return what was learnt, for other owners."""
+        """Return the learnt effects that are certain enough to publish."""
         return tuple(
             PairEffect(standing, image, estimate.mean, estimate.variance)
             for (standing, image), estimate in self._effects.items()
-            if estimate.variance < TELLING_VARIANCE
+            if estimate.variance < MAX_PUBLISHED_VARIANCE
         )
 
     def adopt(self, effects: Iterable[PairEffect], now: float) -> None:
-        """Take over what other owners learnt, where they know more."""
-        for told in effects:
-            own = self._effects.get((told.standing, told.image))
-            variance = ADOPTED_FACTOR * told.variance
+        """Adopt effects learnt by other owners where theirs are more certain."""
+        for published in effects:
+            own = self._effects.get((published.standing, published.image))
+            variance = ADOPTED_VARIANCE_FACTOR * published.variance
             if own is None or own.variance > variance:
-                self._effects[(told.standing, told.image)] = _Estimate(told.mean, variance, now)
+                self._effects[(published.standing, published.image)] = _Estimate(
+                    published.mean, variance, now
+                )
 
     def forget(self, attempt: Attempt) -> None:
-        """Forget the load of a step none of whose runs is left."""
+        """Remove the load of a step that has no attempts left."""
         if not any(task.attempts for task in attempt.task.step.tasks):
             self._loads.pop(attempt.task.step, None)
 
 
 def latency_ratio(attempt: Attempt) -> float | None:
-    """Return a standing task's last tail latency over its target, if there is one."""
-    # A figure of 0 says that it served nobody in that half second.
+    """Return a standing task's last tail latency over its target, ``None`` if not measured."""
+    # A latency of 0 means that the task served no requests in that half second.
     if not attempt.usage:
         return None
     return attempt.usage / attempt.task.step.spec.latency_target_ms
 
 
 def scaled_cores(executor: ExecutorState, milli_cpu: float) -> float:
-    """Return processor use in cores of an executor of the reference size."""
+    """Return the cores of an executor of the reference size that correspond to a processor use."""
     capacity = max(executor.record.capacity.milli_cpu, 1)
     return milli_cpu / 1000 * REFERENCE_MILLI_CPU / capacity
 
--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -1,4 +1,4 @@
-"""Best-effort tasks give way where they disturb a standing task beside them."""
+"""Slows down best-effort tasks where they interfere with colocated standing tasks."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from linkspan.events import Event
 from linkspan.shard.attempt import FULL_PACE
-from linkspan.shard.colocation._pressure_room import KEPT_PRESSURE, PressureRoom
+from linkspan.shard.colocation._pressure_room import MAX_KEPT_PACE_PRESSURE, PressureRoom
 from linkspan.shard.colocation.interference import latency_ratio
 from linkspan.shard.planning.urgency import urgency
 
@@ -16,39 +16,39 @@
     from linkspan.shard.core import ShardCore
     from linkspan.shard.executor import ExecutorState
 
-ALL_GUILTY_AFTER_S = 1.4
-"""Time over target after which every neighbour slows down: what is believed of them
-is then wrong. Two figures of half a second fit into it."""
+SLOW_ALL_AFTER_S = 1.4
+"""Time over target after which all colocated best-effort tasks slow down: by then the estimates of
+their effects must be wrong. It covers two measurements of half a second."""
 
-STAND_STILL_AFTER_S = 2.4
-"""Time over target after which every neighbour stands still. The platform counts
-harm from four seconds on, and a figure is half a second old."""
+PAUSE_ALL_AFTER_S = 2.4
+"""Time over target after which all colocated best-effort tasks pause. The platform counts harm from
+four seconds on, and a measurement is half a second old."""
 
-SLOW_DOWN_FACTOR = 0.5
-"""Factor on every neighbour's pace when all are slowed down."""
+SLOW_ALL_FACTOR = 0.5
+"""Factor on the pace of all colocated best-effort tasks when all are slowed down."""
 
-STOP_BELOW = 10
-"""Pace in percent under which a neighbour stands still instead."""
+MIN_PACE_PERCENT = 10
+"""Minimum pace in percent: a task that would get less pauses instead."""
 
-MIN_STEP = 10
-"""Change of pace in percent that is worth an order."""
+MIN_PACE_CHANGE_PERCENT = 10
+"""Minimum change of pace in percent that justifies an order."""
 
-FIGURE_S = 0.5
-"""Time that a figure covers, in seconds: a change shows fully only after it."""
+MEASUREMENT_PERIOD_S = 0.5
+"""Time that a measurement covers: a change of pace shows fully only after it."""
 
-MOVE_BELOW = 60
-"""Pace in percent under which a neighbour may be better off elsewhere."""
+MOVE_BELOW_PACE_PERCENT = 60
+"""Pace in percent below which a best-effort task may be better off on another executor."""
 
 
 class Pacer:
-    """Sets the pace of best-effort tasks by the latency of standing ones.
+    """Sets the pace of best-effort tasks from the latency of colocated standing ones.
 
-    What the standing tasks of an executor bear is given out by urgency: a job that can
-    still be in time goes before one that cannot.
+    The pressure that the standing tasks of an executor tolerate is allocated by urgency: a job that
+    can still be in time goes before one that cannot.
 
     Args:
         core: The shard's state.
-        interference: What is known of pairs of images.
+        interference: Estimated interference between pairs of images.
     """
 
     def __init__(self, core: ShardCore, interference: InterferenceEstimator) -> None:
@@ -60,7 +60,7 @@
         return f"Pacer({self._core!r})"
 
     def on_report(self, executor: ExecutorState, now: float, wall: float) -> None:
-        """Take in new figures of an executor and set the pace there.
+        """Apply new measurements of an executor and set the paces there.
 
         Args:
             executor: The executor.
@@ -69,26 +69,29 @@
         """
         self._interference.learn(executor, now)
         standing = executor.standing()
-        neighbours = executor.best_effort()
+        best_effort = executor.best_effort()
         for attempt in standing:
-            self._note_over(attempt, len(neighbours), now)
+            self._track_over_target(attempt, len(best_effort), now)
         last = self._changed_at.get(executor.executor_id, float("-inf"))
-        if not neighbours or now - last < FIGURE_S:
+        if not best_effort or now - last < MEASUREMENT_PERIOD_S:
             return
-        by_need = sorted(neighbours, key=lambda a: urgency(a.task.step, wall))
-        present = PressureRoom(executor, self._interference, now, neighbours, limit=KEPT_PRESSURE)
-        if present.overdrawn or any(a.over_since is not None for a in standing):
-            self._share_out(executor, standing, by_need, now)
+        by_urgency = sorted(best_effort, key=lambda a: urgency(a.task.step, wall))
+        present = PressureRoom(
+            executor, self._interference, now, best_effort, limit=MAX_KEPT_PACE_PRESSURE
+        )
+        if present.is_exceeded or any(a.over_since is not None for a in standing):
+            self._reallocate(executor, standing, by_urgency, now)
         else:
-            self._speed_up(executor, by_need, now)
+            self._raise_paces(executor, by_urgency, now)
 
-    def _note_over(self, attempt: Attempt, neighbours: int, now: float) -> None:
-        """Keep since when a standing task is over its target, and tell for how long it was."""
+    def _track_over_target(self, attempt: Attempt, best_effort_count: int, now: float) -> None:
+        """Track since when a standing task is over its target; log how long it was when that
+        ends."""
         ratio = latency_ratio(attempt)
         if ratio is not None and ratio >= 1.0:
             if attempt.over_since is None:
-                # The figure covers the half second before it.
-                attempt.over_since = now - FIGURE_S
+                # The measurement covers the half second before it.
+                attempt.over_since = now - MEASUREMENT_PERIOD_S
             return
         if attempt.over_since is not None:
             self._core.log(
@@ -96,38 +99,42 @@
                 executor=attempt.executor_id,
                 job=attempt.task.name.job_id,
                 image=attempt.task.step.spec.image,
-                over_s=round(now - FIGURE_S - attempt.over_since, 2),
-                best_effort=neighbours,
+                over_s=round(now - MEASUREMENT_PERIOD_S - attempt.over_since, 2),
+                best_effort=best_effort_count,
             )
         attempt.over_since = None
 
-    def _share_out(
-        self, executor: ExecutorState, standing: list[Attempt], by_need: list[Attempt], now: float
+    def _reallocate(
+        self,
+        executor: ExecutorState,
+        standing: list[Attempt],
+        by_urgency: list[Attempt],
+        now: float,
     ) -> None:
-        """Give out anew what the standing tasks bear, the most urgent first."""
+        """Reallocate the pressure that the standing tasks tolerate, the most urgent task first."""
         worst = max(standing, key=lambda a: latency_ratio(a) or 0.0, default=None)
-        factor = _over_factor(standing, now)
-        room = PressureRoom(executor, self._interference, now)
-        for attempt in by_need:
+        factor = _over_target_factor(standing, now)
+        remaining = PressureRoom(executor, self._interference, now)
+        for attempt in by_urgency:
             spec = attempt.task.step.spec
-            share = room.share(spec)
+            share = remaining.share(spec)
             if factor < 1.0:
                 share = min(share, factor * attempt.pace / 100)
-            self._set(executor, attempt, int(100 * share), worst, now)
-            room.take(spec, attempt.pace / 100)
+            self._set_pace(executor, attempt, int(100 * share), worst, now)
+            remaining.add(spec, attempt.pace / 100)
 
-    def _speed_up(self, executor: ExecutorState, by_need: list[Attempt], now: float) -> None:
-        """Give out what is left beside the present paces, the most urgent first."""
-        room = PressureRoom(executor, self._interference, now, by_need)
-        for attempt in by_need:
+    def _raise_paces(self, executor: ExecutorState, by_urgency: list[Attempt], now: float) -> None:
+        """Allocate the pressure left over at the current paces, the most urgent task first."""
+        remaining = PressureRoom(executor, self._interference, now, by_urgency)
+        for attempt in by_urgency:
             if attempt.pace >= FULL_PACE and attempt.pace_confirmed:
                 continue
             spec, pace = attempt.task.step.spec, attempt.pace
-            more = min(room.share(spec), 1.0 - pace / 100)
-            self._set(executor, attempt, pace + int(100 * more), None, now)
-            room.take(spec, (attempt.pace - pace) / 100)
+            increase = min(remaining.share(spec), 1.0 - pace / 100)
+            self._set_pace(executor, attempt, pace + int(100 * increase), None, now)
+            remaining.add(spec, (attempt.pace - pace) / 100)
 
-    def _set(
+    def _set_pace(
         self,
         executor: ExecutorState,
         attempt: Attempt,
@@ -135,9 +142,9 @@
         worst: Attempt | None,
         now: float,
     ) -> None:
-        """Order a pace if the change is worth it, or the one in force is not known."""
-        pace = _rounded(pace, attempt.pace)
-        if abs(pace - attempt.pace) < MIN_STEP and attempt.pace_confirmed:
+        """Order a pace if the change is large enough or the current pace is not confirmed."""
+        pace = _rounded_pace(pace, attempt.pace)
+        if abs(pace - attempt.pace) < MIN_PACE_CHANGE_PERCENT and attempt.pace_confirmed:
             return
         self._changed_at[executor.executor_id] = now
         self._core.log(
@@ -153,17 +160,17 @@
         self._core.pace(attempt, pace, now)
 
 
-def _rounded(pace: int, present: int) -> int:
-    """Return the pace to order: none for very little, full speed if little short of it."""
-    if pace < STOP_BELOW:
+def _rounded_pace(pace: int, present: int) -> int:
+    """Return the pace to order: 0 below the minimum, full speed if an increase is close to it."""
+    if pace < MIN_PACE_PERCENT:
         return 0
-    return pace if pace <= FULL_PACE - MIN_STEP or pace < present else FULL_PACE
+    return pace if pace <= FULL_PACE - MIN_PACE_CHANGE_PERCENT or pace < present else FULL_PACE
 
 
-def _over_factor(standing: list[Attempt], now: float) -> float:
-    """Return the factor on all paces where a standing task has been over target for long."""
+def _over_target_factor(standing: list[Attempt], now: float) -> float:
+    """Return the factor on all paces, below 1 if a standing task is over its target for long."""
     since = [a.over_since for a in standing if a.over_since is not None]
     over_s = now - min(since, default=now)
-    if over_s >= STAND_STILL_AFTER_S:
+    if over_s >= PAUSE_ALL_AFTER_S:
         return 0.0
-    return SLOW_DOWN_FACTOR if over_s >= ALL_GUILTY_AFTER_S else 1.0
+    return SLOW_ALL_FACTOR if over_s >= SLOW_ALL_AFTER_S else 1.0
--- a/src/linkspan/shard/planning/_free_room.py
+++ b/src/linkspan/shard/planning/_free_room.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from linkspan.shard.colocation._plan_rooms import NONE_LEFT
+from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -14,8 +14,8 @@
     from linkspan.shard.colocation._plan_rooms import PlanRooms
     from linkspan.shard.executor import ExecutorState
 
-ANY_MILLI_CPU = math.nextafter(NONE_LEFT, 0.0)
-"""Lower bound of free thousandths of a core that excludes only :data:`NONE_LEFT`."""
+ANY_MILLI_CPU = math.nextafter(NO_UNUSED_CPU, 0.0)
+"""Lower bound of free thousandths of a core that excludes only :data:`NO_UNUSED_CPU`."""
 
 
 class ExecutorGroup(NamedTuple):
--- a/src/linkspan/shard/planning/_moves.py
+++ b/src/linkspan/shard/planning/_moves.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from linkspan.shard.attempt import Phase
-from linkspan.shard.colocation.pacing import MOVE_BELOW
+from linkspan.shard.colocation.pacing import MOVE_BELOW_PACE_PERCENT
 from linkspan.shard.planning._offloading import Offloading
 from linkspan.shard.planning._plan_stage import PlanStage
 
@@ -139,7 +139,7 @@
     def _move_interfering(self) -> None:
         """Move best-effort runs with a reduced pace to executors where they interfere less."""
         for executor in list(self._core.executors.values()):
-            for attempt in executor.slowed(MOVE_BELOW):
+            for attempt in executor.slowed(MOVE_BELOW_PACE_PERCENT):
                 if self._interferes_less_elsewhere(attempt, executor):
                     self._core.stop(
                         attempt, self._now, reason="interferes with standing tasks here"
--- a/src/linkspan/shard/planning/placement.py
+++ b/src/linkspan/shard/planning/placement.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from linkspan.shard.attempt import FULL_PACE
-from linkspan.shard.colocation._plan_rooms import NONE_LEFT
-from linkspan.shard.colocation.pacing import STOP_BELOW
+from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU
+from linkspan.shard.colocation.pacing import MIN_PACE_PERCENT
 from linkspan.shard.planning._free_room import ANY_MILLI_CPU, ExecutorGroup
 
 if TYPE_CHECKING:
@@ -183,7 +183,7 @@
         spec = self.step.spec
         if spec.gang or spec.max_per_executor or self.step.run.job.requires_ticket:
             return None
-        best_effort = (spec.image, self.rooms.hope(self.step)) if spec.best_effort else None
+        best_effort = (spec.image, self.rooms.timeliness(self.step)) if spec.best_effort else None
         service = self.step.run.job.service
         return TaskKind(
             service, spec.label, spec.demand, spec.standing, best_effort, use_headroom, starved
@@ -217,7 +217,7 @@
         if not self.step.spec.best_effort:
             return FULL_PACE
         share = self.rooms.share(executor, self.step)
-        return int(100 * share) if share >= STOP_BELOW / 100 else 0
+        return int(100 * share) if share >= MIN_PACE_PERCENT / 100 else 0
 
     def reason_against(
         self, executor: ExecutorState, *, use_headroom: bool = False, starved: bool = False
@@ -256,7 +256,7 @@
     def _reason_against_best_effort(self, executor: ExecutorState, *, starved: bool) -> str | None:
         """Return why an executor cannot take one more best-effort task; ``None`` if it can."""
         unused = self.rooms.unused_cpu(executor)
-        if unused == NONE_LEFT:
+        if unused == NO_UNUSED_CPU:
             return "latency over target"
         if starved:
             return None
--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -5,7 +5,7 @@
 import pytest
 from bench._busy_hall import BusyHall
 
-from linkspan.shard.colocation._plan_rooms import NONE_LEFT, PlanRooms, leftover_cpu
+from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU, PlanRooms, remaining_cpu
 from linkspan.shard.executor import ExecutorState
 from linkspan.shard.planning.placement import StepPlacement
 from linkspan.shard.task import Task
@@ -32,7 +32,7 @@
 
 
 def _unused(_rooms: PlanRooms, executor: ExecutorState) -> float:
-    return NONE_LEFT if executor.disturbed else leftover_cpu(executor)
+    return NO_UNUSED_CPU if executor.disturbed else remaining_cpu(executor)
 
 
 def _play() -> tuple[int, str]:
--- a/tests/shard/test_colocation.py
+++ b/tests/shard/test_colocation.py
@@ -10,8 +10,12 @@
 from linkspan.jobs.spec import JobSpec
 from linkspan.shard.attempt import Attempt, Phase
 from linkspan.shard.colocation._effect_selector import EffectSelector
-from linkspan.shard.colocation.interference import UNLOADED, InterferenceEstimator, pressure_of
-from linkspan.shard.colocation.pacing import STAND_STILL_AFTER_S, Pacer
+from linkspan.shard.colocation.interference import (
+    UNLOADED_LATENCY_RATIO,
+    InterferenceEstimator,
+    pressure_of,
+)
+from linkspan.shard.colocation.pacing import PAUSE_ALL_AFTER_S, Pacer
 from linkspan.shard.core import ShardCore
 from linkspan.shard.handover.summary import HallSummary, PairEffect
 from linkspan.shard.job_run import new_run
@@ -22,7 +26,7 @@
 
 
 def figures(attempt: Attempt, pressure: float) -> None:
-    attempt.usage = 10.0 * UNLOADED / (1.0 - min(pressure, 0.98))
+    attempt.usage = 10.0 * UNLOADED_LATENCY_RATIO / (1.0 - min(pressure, 0.98))
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -63,7 +67,7 @@
     neighbour.usage = 3_000.0
     pacer = Pacer(core, core.interference)
     now = 0.0
-    while now <= STAND_STILL_AFTER_S + 0.6:
+    while now <= PAUSE_ALL_AFTER_S + 0.6:
         serving.usage = 30.0
         pacer.on_report(executor, now, now)
         now += 0.5
--- a/tests/shard/test_effect_news.py
+++ b/tests/shard/test_effect_news.py
@@ -4,7 +4,11 @@
 
 from random import Random
 
-from linkspan.shard.colocation._effect_selector import TOLD_AS_CHANGED, TOLD_IN_TURN, EffectSelector
+from linkspan.shard.colocation._effect_selector import (
+    MAX_PUBLISHED_AS_CHANGED,
+    MAX_PUBLISHED_IN_TURN,
+    EffectSelector,
+)
 from linkspan.shard.handover.summary import HallSummary, PairEffect
 from linkspan.shard.ownership.ownership import MAX_EFFECTS, OwnerAct, OwnerRecord, OwnerView
 from linkspan.store.types import Entry
@@ -44,7 +48,7 @@
 def test_each_pair_is_told_in_its_turn() -> None:
     news = EffectSelector()
     known = pairs(300)
-    rounds = -(-len(known) // TOLD_IN_TURN)
+    rounds = -(-len(known) // MAX_PUBLISHED_IN_TURN)
     told = {(e.standing, e.image) for _ in range(rounds) for e in news.select(known)}
     assert len(told) == len(known)
     again = {(e.standing, e.image) for _ in range(rounds) for e in news.select(known)}
@@ -60,7 +64,7 @@
     known[250:255] = [effect._replace(mean=effect.mean + 0.1) for effect in changed]
     told = {(e.standing, e.image): e for e in news.select(known)}
     assert [told[e.standing, e.image].mean for e in changed] == [e.mean + 0.1 for e in changed]
-    assert len(told) <= TOLD_IN_TURN + TOLD_AS_CHANGED
+    assert len(told) <= MAX_PUBLISHED_IN_TURN + MAX_PUBLISHED_AS_CHANGED
 
 
 def test_a_pair_that_is_known_no_more_is_not_told() -> None:
