--- a/src/linkspan/shard/handover/__init__.py
+++ b/src/linkspan/shard/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Work that goes to other halls, is lent to them, or is given back."""
+"""Moves jobs to other halls, delegates standing tasks to them, and returns delegated tasks."""
--- a/src/linkspan/shard/handover/_delegations.py
+++ b/src/linkspan/shard/handover/_delegations.py
@@ -1,4 +1,4 @@
-"""Tasks that are lent to other shards or borrowed from them, and jobs that move."""
+"""Tracks tasks delegated between shards, and jobs that move."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Delegations:
-    """Keeps track of work that is looked after by another shard than its own.
+    """Tracks tasks that another shard than their home shard manages.
 
     Args:
         state: The shard's state.
@@ -33,7 +33,7 @@
     def accept_delegations(
         self, job_id: str, delegations: Iterable[Delegation], now: float
     ) -> None:
-        """Take in all open loans of a job's tasks to this shard."""
+        """Apply all open delegations of a job's tasks to this shard."""
         job = self._state.jobs.get(job_id)
         run = job.runs.get(0) if job and job.delegated_here else None
         if run is None:
@@ -49,10 +49,10 @@
     def hand_over_tasks(
         self, job_id: str, shard: int, tasks: Iterable[tuple[int, int]]
     ) -> JobRun | None:
-        """Stop looking after pending tasks of a job; return their repetition.
+        """Stop managing pending tasks of a job, and return their repetition.
 
-        A loan of a task that lives here gets the next number; a task that was lent to
-        this shard goes back under the number that it came with.
+        A delegation of a task whose home is this shard gets the next number. A task that was
+        delegated to this shard is returned under the number of its delegation.
         """
         job = self._state.jobs.get(job_id)
         run = job.runs.get(0) if job else None
@@ -66,7 +66,7 @@
         return run
 
     def reclaim_tasks(self, job_id: str, returned: Iterable[Delegation], now: float) -> None:
-        """Look after tasks again whose loans were given back."""
+        """Manage tasks again whose delegations were returned."""
         job = self._state.jobs.get(job_id)
         run = job.runs.get(0) if job and not job.delegated_here else None
         if run is None:
@@ -76,12 +76,12 @@
             if task.managed_by is not None and task.delegation_number == delegation.number:
                 task.returned_by[task.managed_by] = delegation.number
                 task.managed_by = None
-                self._state.set_crash_history(task, _brought_back(task, delegation))
+                self._state.set_crash_history(task, _returned_crash_history(task, delegation))
                 self._state.mark_dirty(run)
                 self._state.mark_ready(task, now)
 
     def delegations(self, job_id: str) -> dict[int, tuple[Delegation, ...]]:
-        """Return the loans of a job's tasks that are out, by shard."""
+        """Return the open delegations of a job's tasks, by shard."""
         job = self._state.jobs.get(job_id)
         delegations: dict[int, tuple[Delegation, ...]] = {}
         for run in job.runs.values() if job else ():
@@ -94,7 +94,7 @@
         return delegations
 
     def remove_moved(self, job_id: str) -> None:
-        """Forget a job that was moved to another shard."""
+        """Remove a job that was moved to another shard."""
         self._state.departed_jobs.add(job_id)
         job = self._state.jobs.pop(job_id, None)
         for run in job.runs.values() if job else ():
@@ -105,8 +105,8 @@
                 self._state.advice.forget(step)
 
 
-def _brought_back(task: Task, delegation: Delegation) -> CrashHistory | None:
-    """Return what a loan brings back of crashes, but for those that were none by now."""
+def _returned_crash_history(task: Task, delegation: Delegation) -> CrashHistory | None:
+    """Return the crash history of a returned delegation without the crashes retracted since."""
     known = delegated_crash_history(delegation)
     for incarnation in task.retracted_crashes:
         known = known and retract_crash(known, incarnation, known.version)
@@ -115,7 +115,7 @@
 
 
 def last_delegation_of(task: Task) -> Delegation:
-    """Return a task's last loan, with the crashes under it: the count goes with the task."""
+    """Return a task's last delegation, including the task's crash history."""
     known = task.crash_history
     name = task.name.step, task.name.index, task.delegation_number
     return (
--- a/src/linkspan/shard/handover/_evidence.py
+++ b/src/linkspan/shard/handover/_evidence.py
@@ -1,4 +1,4 @@
-"""By what an owner holds a job for one of which nothing was started."""
+"""Log fields that show why an owner considers a job not begun."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class MoveEvidence:
-    """Tells what the owner knows when it moves a whole job, for the log.
+    """Collects what the owner knows about a job when it moves the whole job, for the log.
 
     Args:
-        context: What the tenure works with.
+        context: Components of the tenure.
     """
 
     def __init__(self, context: TenureContext) -> None:
@@ -26,7 +26,7 @@
         return f"MoveEvidence({self._core!r})"
 
     def fields(self, job: ShardJob, now: float) -> dict[str, Any]:
-        """Return what speaks for it that no task of a job was started.
+        """Return log fields that show why an owner takes a job for not begun.
 
         Args:
             job: The job.
--- a/src/linkspan/shard/handover/_handovers.py
+++ b/src/linkspan/shard/handover/_handovers.py
@@ -1,4 +1,4 @@
-"""Work that goes to other halls, and work that is given back."""
+"""Hands work over to other halls and returns delegated tasks."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     from linkspan.shard.handover.summary import HallSummary
     from linkspan.shard.job_run import JobRun
 
-REBALANCE_S = 0.3
-"""Time between looks for work that another hall could take."""
+REBALANCE_INTERVAL_S = 0.3
+"""Time between searches for work that another hall could take."""
 
 
 class Handovers:
-    """Hands over what the rebalancer finds: durable here before it is told there.
+    """Carries out the rebalancer's handovers: each is made durable here before it is published.
 
     Args:
-        context: What the tenure works with.
-        summary_of: Returns what the owner of a shard last told.
+        context: Components of the tenure.
+        summary_of: Returns the summary that the owner of a shard published last.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         self._proof = context.proof
         self._changes = context.changes
         self._summary_of = summary_of
-        self._given_back = ReturnedDelegations()
+        self._returned_delegations = ReturnedDelegations()
         self._rebalancer = Rebalancer(
             self._core,
             summaries=self._other_summaries,
-            count_able=self._count_able,
+            count_capable=self._count_capable,
             evidence=MoveEvidence(context).fields,
         )
 
@@ -63,9 +63,9 @@
         return f"Handovers(shard={self._shard})"
 
     async def rebalance_loop(self) -> None:
-        """Look for work that another hall could take, and hand it over."""
+        """Find work that another hall could take, and hand it over."""
         while True:
-            await asyncio.sleep(REBALANCE_S)
+            await asyncio.sleep(REBALANCE_INTERVAL_S)
             if not self._proof.may_act(steady()):
                 continue
             own = summarize(self._core, steady())
@@ -84,7 +84,7 @@
         job = self._core.jobs.get(job_id)
         run = self._core.hand_over_tasks(job_id, shard, tasks)
         if job is None or run is None:
-            # It ended in the meantime.
+            # The job ended in the meantime.
             return
         await self._writer.write([Record(encode_run(run), key_of(run))])
         if job.delegated_here:
@@ -99,16 +99,18 @@
         delegations = tuple(
             last_delegation_of(run.steps[step].tasks[index]) for step, index in tasks
         )
-        self._given_back.keep_only(self._core.jobs)
-        return Returned(job_id, self._shard, self._given_back.add(job_id, before, delegations))
+        self._returned_delegations.keep_only(self._core.jobs)
+        return Returned(
+            job_id, self._shard, self._returned_delegations.add(job_id, before, delegations)
+        )
 
     async def tell_moved(self, job_id: str, shard: int) -> None:
-        """Tell that a job lives in another shard now, and forget it."""
+        """Publish that a job now belongs to another shard, and remove the job here."""
         offset = await self._job_registry.write([Moved(job_id, shard)])
         self._log_move(Event.MOVE_TOLD, job_id, shard, offset)
         job = self._core.jobs.get(job_id)
         if job is None or not job.delegated_here:
-            # Otherwise it was lent back before this answer came.
+            # Otherwise tasks of the job were delegated back before this answer arrived.
             self._core.remove_moved(job_id)
             self._core.drop_progress(job_id, [0])
         self._changes.notify()
@@ -130,6 +132,6 @@
             if shard != self._shard and (summary := self._summary_of(shard)) is not None
         }
 
-    def _count_able(self, shard: int, step: StepSpec, service: str) -> int:
+    def _count_capable(self, shard: int, step: StepSpec, service: str) -> int:
         summary = self._summary_of(shard)
         return summary.able(step, service) if summary else 0
--- a/src/linkspan/shard/handover/_returned_delegations.py
+++ b/src/linkspan/shard/handover/_returned_delegations.py
@@ -1,4 +1,4 @@
-"""Loans that a shard gave back."""
+"""Delegations that a shard has returned."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ReturnedDelegations:
-    """Loans that this shard gave back, also those whose record it has not read yet.
+    """Delegations that this shard returned, including those whose record is not read yet.
 
-    A record holds all loans that were given back, under one key: one that left some out
-    would hide them, and nobody would look after their tasks.
+    One record under one key contains all returned delegations of a job. A record that left some out
+    would hide them, and no shard would manage their tasks.
     """
 
     def __init__(self) -> None:
@@ -24,21 +24,21 @@
         return f"ReturnedDelegations({len(self._delegations)} jobs)"
 
     def add(
-        self, job_id: str, told: Iterable[Delegation], delegations: Iterable[Delegation]
+        self, job_id: str, recorded: Iterable[Delegation], delegations: Iterable[Delegation]
     ) -> tuple[Delegation, ...]:
-        """Return all loans of a job for its next record.
+        """Return all returned delegations of a job, for its next record.
 
         Args:
             job_id: The job.
-            told: Loans that the last record read holds.
-            delegations: Loans that are given back now.
+            recorded: Delegations in the last record that was read.
+            delegations: Delegations that are returned now.
         """
         known = self._delegations.setdefault(job_id, {})
-        known.update(dict.fromkeys((*told, *delegations)))
+        known.update(dict.fromkeys((*recorded, *delegations)))
         return tuple(known)
 
     def keep_only(self, job_ids: Container[str]) -> None:
-        """Forget all other jobs."""
+        """Remove the delegations of all other jobs."""
         self._delegations = {
             j: delegations for j, delegations in self._delegations.items() if j in job_ids
         }
--- a/src/linkspan/shard/handover/summary.py
+++ b/src/linkspan/shard/handover/summary.py
@@ -1,4 +1,4 @@
-"""What a shard's owner tells all hosts of its hall."""
+"""Summary of a hall that its shard's owner publishes to all hosts."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     Attributes:
         standing: Image of the standing task.
         image: Image of the best-effort work.
-        mean: Pressure that one core of it adds.
-        variance: How far that may be off, squared.
+        mean: Pressure that one core of the best-effort work adds.
+        variance: Variance of the mean.
     """
 
     standing: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HallSummary:
-    """State of a hall that matters for where new jobs live.
+    """State of a hall that decides where new jobs are placed.
 
     Attributes:
         capacity: Thousandths of a core of all usable executors.
@@ -52,11 +52,13 @@
         waiting: Thousandths of a core that best-effort tasks wait for.
         queued: Thousandths of a core that other tasks wait for.
         standing: Thousandths of a core held by standing tasks, by image.
-        effects: Learnt effects: of a record those that are news, of a view all that it knows.
-        rooms: Free thousandths of a core and megabytes of each executor.
-        kinds: What its executors are like, also of those that take no work just now, but
-            for those that leave; ``None`` if that is not told.
-        former_capacities: Service and size of executors that had more room before: it comes back.
+        effects: Learnt effects: in a record those published with it, in a host's view all known
+            ones.
+        rooms: Free thousandths of a core and free megabytes of each executor.
+        kinds: Kinds of its executors, including those that take no new work at present, but without
+            those that leave; ``None`` if not published.
+        former_capacities: Service and former size of executors with reduced capacity, which comes
+            back.
     """
 
     capacity: int = 0
@@ -79,8 +81,8 @@
         """Return how many more tasks fit now.
 
         Args:
-            demand: What one of them takes.
-            headroom: Thousandths of a core that each executor is to keep.
+            demand: Resources that one task takes.
+            headroom: Thousandths of a core that must stay free on each executor.
         """
         cpu, memory = max(demand.milli_cpu, 1), max(demand.memory_mb, 1)
         return sum(
@@ -105,17 +107,17 @@
 
     @classmethod
     def decode(cls, fields: list[object]) -> HallSummary:
-        """Return the summary of a record's fields.
+        """Return the summary in a record's fields.
 
         Raises:
-            RecordError: They are no summary.
+            RecordError: The fields are not a valid summary.
         """
         try:
-            # Hosts of other versions tell less, or more behind it.
+            # Hosts of other versions publish fewer fields, or append more.
             capacity, free, best_effort, waiting, standing, effects, rooms, *rest = fields
             queued = rest[0] if rest else 0
             kinds = rest[1] if len(rest) > 1 else None
-            larger = rest[2] if len(rest) > 2 else ()
+            former_capacities = rest[2] if len(rest) > 2 else ()
             return cls(
                 parse_int(capacity),
                 _signed(free),
@@ -131,14 +133,14 @@
                 None
                 if kinds is None
                 else tuple(_kind(parse_list(row)) for row in parse_list(kinds)),
-                tuple(_larger(parse_list(row)) for row in parse_list(larger)),
+                tuple(_former_capacity(parse_list(row)) for row in parse_list(former_capacities)),
             )
         except (ValueError, TypeError) as error:
             raise RecordError(f"hall summary {orjson.dumps(fields)!r:.60}: {error!r}") from error
 
 
 def _signed(value: object) -> int:
-    # Where room is not guarded, more may be reserved than there is.
+    # Without a guard of capacity, more may be reserved than an executor has.
     return parse_int(value, minimum=-MAX_EXACT_INT)
 
 
@@ -171,7 +173,7 @@
     return ExecutorKind(parse_text(service), _size(size), named, parse_int(count))
 
 
-def _larger(row: list[Any]) -> tuple[str, Demand]:
+def _former_capacity(row: list[Any]) -> tuple[str, Demand]:
     service, size, *_ = row
     return parse_text(service), _size(size)
 
@@ -182,7 +184,7 @@
 
 
 def summarize(core: ShardCore, now: float) -> HallSummary:
-    """Return the state of a shard's hall for other hosts."""
+    """Return the summary of a shard's hall."""
     usable = [e for e in core.executors.values() if core.takes_work(e, now)]
     standing: dict[str, int] = {}
     for executor in usable:
@@ -201,12 +203,12 @@
         kinds=kinds_of(
             e.record for e in core.executors.values() if e.listed and e.record.takes_new_work
         ),
-        former_capacities=_larger_before(core),
+        former_capacities=_former_capacities(core),
     )
 
 
-def _larger_before(core: ShardCore) -> tuple[tuple[str, Demand], ...]:
-    """Return the sizes of executors that have less room now than they had."""
+def _former_capacities(core: ShardCore) -> tuple[tuple[str, Demand], ...]:
+    """Return the former sizes of executors whose capacity is reduced."""
     shrunk = (
         e for e in core.executors.values() if e.listed and e.largest_capacity != e.record.capacity
     )
--- a/tests/shard/test_cut_reports.py
+++ b/tests/shard/test_cut_reports.py
@@ -6,7 +6,7 @@
 from linkspan.model.configuration import Configuration, Service
 from linkspan.model.settings import Bounds
 from linkspan.shard.core import ShardCore
-from linkspan.shard.handover.rebalance import WAIT_S, Rebalancer
+from linkspan.shard.handover.rebalance import HANDOVER_WAIT_S, Rebalancer
 from linkspan.shard.messages import (
     EndedTask,
     EndKind,
@@ -48,5 +48,5 @@
     done = EndedTask(2, TaskName(JOB, 0, 0, 0), 1, EndKind.DONE, "")
     whole = ExecutorReport(1.0, (), (unread, done))
     heir.on_report("e0", whole.without({UNREAD}), asked=1.0, now=1.0)
-    rebalancer = Rebalancer(heir, summaries=lambda: {1: EMPTY}, count_able=lambda *_: 2)
-    assert rebalancer.plan(FULL, 1.1 + WAIT_S) == []
+    rebalancer = Rebalancer(heir, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
+    assert rebalancer.plan(FULL, 1.1 + HANDOVER_WAIT_S) == []
--- a/tests/shard/test_gangs_not_begun.py
+++ b/tests/shard/test_gangs_not_begun.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linkspan.shard.handover.rebalance import WAIT_S, Rebalancer
+from linkspan.shard.handover.rebalance import HANDOVER_WAIT_S, Rebalancer
 from linkspan.shard.handover.summary import HallSummary
 from tests.job_builders import step
 from tests.shard.builders import JOB, core_with, plan
@@ -17,6 +17,6 @@
     assert plan(core, 0.1) == []
     assert core.begun == []
     assert not core.dirty
-    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_able=lambda *_: 3)
-    (handover,) = rebalancer.plan(FULL, 0.2 + WAIT_S)
+    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 3)
+    (handover,) = rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S)
     assert (handover.job_id, handover.shard, handover.tasks) == (JOB, 1, None)
--- a/tests/shard/test_rebalance.py
+++ b/tests/shard/test_rebalance.py
@@ -6,7 +6,11 @@
 
 from linkspan.jobs.records import Delegation
 from linkspan.shard.handover._returned_delegations import ReturnedDelegations
-from linkspan.shard.handover.rebalance import SHORT_WAIT_S, WAIT_S, Rebalancer
+from linkspan.shard.handover.rebalance import (
+    HANDOVER_WAIT_S,
+    SHORT_TASK_HANDOVER_WAIT_S,
+    Rebalancer,
+)
 from linkspan.shard.handover.summary import HallSummary
 from linkspan.shard.messages import EndedTask, EndKind, TaskName
 from tests.job_builders import step
@@ -19,24 +23,26 @@
 def test_a_job_with_two_ready_steps_moves_once() -> None:
     core = core_with(step(1, cpu=9_000), step(1, cpu=9_000))
     assert plan(core, 0.1) == []
-    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY, 2: EMPTY}, count_able=lambda *_: 2)
-    found = rebalancer.plan(FULL, 0.2 + WAIT_S)
+    rebalancer = Rebalancer(
+        core, summaries=lambda: {1: EMPTY, 2: EMPTY}, count_capable=lambda *_: 2
+    )
+    found = rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S)
     assert [handover.job_id for handover in found] == [JOB]
 
 
 def test_work_does_not_move_to_a_hall_without_room() -> None:
     core = core_with(step(1, cpu=9_000))
     assert plan(core, 0.1) == []
-    rebalancer = Rebalancer(core, summaries=lambda: {1: FULL}, count_able=lambda *_: 2)
-    assert rebalancer.plan(FULL, 0.2 + WAIT_S) == []
+    rebalancer = Rebalancer(core, summaries=lambda: {1: FULL}, count_capable=lambda *_: 2)
+    assert rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S) == []
 
 
 def test_inherited_work_in_doubt_does_not_move() -> None:
     core = core_with(step(1, cpu=9_000))
     core.jobs[JOB].inherited = True
     core.inherit([next(iter(core.executors.values())).record], 99.0)
-    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_able=lambda *_: 2)
-    assert rebalancer.plan(FULL, 0.2 + WAIT_S) == []
+    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
+    assert rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S) == []
 
 
 def test_a_displaced_task_may_use_the_room_kept_for_short_ones() -> None:
@@ -44,10 +50,10 @@
     core = core_with(step(3, standing=True, cpu=6_000, max_per_executor=1))
     assert len(plan(core, 0.1)) == 2
     task = core.jobs[JOB].runs[0].steps[0].tasks[2]
-    rebalancer = Rebalancer(core, summaries=lambda: {1: tight}, count_able=lambda *_: 2)
-    assert rebalancer.plan(FULL, 0.2 + WAIT_S) == []
+    rebalancer = Rebalancer(core, summaries=lambda: {1: tight}, count_capable=lambda *_: 2)
+    assert rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S) == []
     task.next_run = 2
-    (handover,) = rebalancer.plan(FULL, 0.2 + WAIT_S)
+    (handover,) = rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S)
     assert handover.tasks == ((0, 2),)
 
 
@@ -61,8 +67,8 @@
     core = core_with(step(4, standing=True, cpu=6_000, max_per_executor=1))
     assert len(plan(core, 0.1)) == 2
     core.jobs[JOB].runs[0].steps[0].tasks[3].next_run = 2
-    rebalancer = Rebalancer(core, summaries=lambda: {1: tight}, count_able=lambda *_: 2)
-    (handover,) = rebalancer.plan(FULL, 0.2 + WAIT_S)
+    rebalancer = Rebalancer(core, summaries=lambda: {1: tight}, count_capable=lambda *_: 2)
+    (handover,) = rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S)
     assert handover.tasks == ((0, 3),)
 
 
@@ -75,11 +81,11 @@
     assert plan(core, 0.1) == []
     (task,) = core.jobs[JOB].runs[0].steps[0].tasks
     task.not_before = float("inf")
-    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_able=lambda *_: 2)
+    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
     core.jobs[JOB].begun = True
-    assert rebalancer.plan(FULL, 0.2 + WAIT_S) == []
+    assert rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S) == []
     task.not_before = 0.1
-    assert len(rebalancer.plan(FULL, 0.2 + WAIT_S)) == 1
+    assert len(rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S)) == 1
 
 
 def test_a_loan_given_back_is_in_every_later_record() -> None:
@@ -96,12 +102,12 @@
     core = core_with(step(1, cpu=9_000))
     assert plan(core, 0.1) == []
     busy = replace(EMPTY, waiting=50_000)
-    rebalancer = Rebalancer(core, summaries=lambda: {1: busy}, count_able=lambda *_: 2)
-    (handover,) = rebalancer.plan(FULL, 0.2 + SHORT_WAIT_S)
+    rebalancer = Rebalancer(core, summaries=lambda: {1: busy}, count_capable=lambda *_: 2)
+    (handover,) = rebalancer.plan(FULL, 0.2 + SHORT_TASK_HANDOVER_WAIT_S)
     assert (handover.job_id, handover.shard) == (JOB, 1)
     queued = replace(EMPTY, queued=1_000)
-    rebalancer = Rebalancer(core, summaries=lambda: {1: queued}, count_able=lambda *_: 2)
-    assert rebalancer.plan(FULL, 0.2 + SHORT_WAIT_S) == []
+    rebalancer = Rebalancer(core, summaries=lambda: {1: queued}, count_capable=lambda *_: 2)
+    assert rebalancer.plan(FULL, 0.2 + SHORT_TASK_HANDOVER_WAIT_S) == []
 
 
 def test_a_job_that_an_end_shows_to_have_begun_does_not_move() -> None:
@@ -111,8 +117,8 @@
     end = EndedTask(1, TaskName(JOB, 0, 0, 0), 1, EndKind.DONE, "")
     report(core, "e0", end, asked=0.1, now=0.1)
     assert plan(core, 0.2) == []
-    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_able=lambda *_: 2)
-    assert rebalancer.plan(FULL, 0.3 + WAIT_S) == []
+    rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
+    assert rebalancer.plan(FULL, 0.3 + HANDOVER_WAIT_S) == []
     assert core.begun == [JOB]
 
 
