--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -85,8 +85,7 @@
             self._raise_paces(executor, by_urgency, now)
 
     def _track_over_target(self, attempt: Attempt, best_effort_count: int, now: float) -> None:
-        """Track since when a standing task is over its target; log how long it was when that
-        ends."""
+        """Track since when a standing task is over its target; log the duration at the end."""
         ratio = latency_ratio(attempt)
         if ratio is not None and ratio >= 1.0:
             if attempt.over_since is None:
--- a/src/linkspan/shard/planning/advice.py
+++ b/src/linkspan/shard/planning/advice.py
@@ -145,8 +145,7 @@
                 known.tickets[executor_id] = _Ticket(text, expires_at)
 
     def on_failed(self, call: AdviceCall, now: float) -> None:
-        """Handle a call that was refused or not answered: delay the next one and queue the step
-        last."""
+        """Handle a call that was refused or not answered: other steps come first after a delay."""
         self._not_before = now + RETRY_S
         known = self._steps.pop(call.step, None)
         if known:
--- a/src/linkspan/shard/planning/durations.py
+++ b/src/linkspan/shard/planning/durations.py
@@ -63,9 +63,9 @@
     Callers' estimates are rough. Durations of batch jobs spread by a factor of 1.5 and estimates by
     a factor of 2, and durations follow the estimates with a slope of 0.2. Used unchanged, the
     estimates make punctual jobs look late and late jobs punctual, so that jobs without hope of
-    meeting their objective get pace beside standing tasks. With learnt durations standing tasks
-    earn about 1.5 percent more of what is owed to them. Durations are fitted to estimates on a
-    logarithmic scale. Before anything is learnt an estimate is used unchanged.
+    meeting their objective run at a pace that slows colocated standing tasks. With learnt durations
+    standing tasks earn about 1.5 percent more of what is owed to them. Durations are fitted to
+    estimates on a logarithmic scale. Before anything is learnt an estimate is used unchanged.
 
     Attributes:
         learnt: Number of steps learnt from.
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -89,16 +89,15 @@
         if step.spec.gang:
             placed = self._place_gang(placement, pending, view.isolated_placement())
         else:
-            suspects = [t for t in pending if t.needs_isolation] if self._core.suspects else []
-            others = [t for t in pending if not t.needs_isolation] if suspects else pending
+            to_isolate = [t for t in pending if t.needs_isolation] if self._core.suspects else []
+            others = [t for t in pending if not t.needs_isolation] if to_isolate else pending
             placed = self._place_each(placement, others)
-            placed += self._place_suspects(placement, suspects, view)
+            placed += self._place_isolated(placement, to_isolate, view)
             placed = placed or self._place_starved(placement, pending)
         self._log(placement, placed, len(pending), view)
 
     def _require_tickets(self, placement: StepPlacement) -> None:
-        """Limit a placement to executors with a valid ticket, and request tickets for the
-        others."""
+        """Limit a placement to executors with a valid ticket; request the missing tickets."""
         step, now, advice = placement.step, placement.now, self._core.advice
         by_room = sorted(placement.executors, key=lambda e: -e.free_cpu)
         advice.request_tickets(step, (e.executor_id for e in by_room), now)
@@ -140,12 +139,12 @@
             placed.append(self._start(placement, task, executor, pace=pace))
         return placed
 
-    def _place_suspects(
-        self, placement: StepPlacement, suspects: list[Task], view: PlanView
+    def _place_isolated(
+        self, placement: StepPlacement, to_isolate: list[Task], view: PlanView
     ) -> list[Attempt]:
         placed = []
         isolation = view.isolated_placement()
-        for task in suspects:
+        for task in to_isolate:
             executor = isolation.choose(placement, task)
             if executor is None:
                 continue
