--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -5,7 +5,7 @@
 import pytest
 from bench._busy_hall import BusyHall
 
-from linkspan.shard.colocation._plan_rooms import NONE_LEFT, PlanRooms, leftover_cpu
+from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU, PlanRooms, remaining_cpu
 from linkspan.shard.executor import ExecutorState
 from linkspan.shard.planning.placement import StepPlacement
 from linkspan.shard.task import Task
@@ -18,21 +18,21 @@
 def _choose(placement: StepPlacement, task: Task, *, starved: bool = False) -> ExecutorState | None:
     """Choose as the placement does, with each executor looked at anew."""
     best, best_score = None, float("inf")
-    fill = placement._may_fill(task)
+    fill = placement._may_use_headroom(task)
     for executor in placement.executors:
         if executor.executor_id in task.avoided_executors:
             continue
-        if placement.reason_against(executor, fill=fill, starved=starved) is not None:
+        if placement.reason_against(executor, use_headroom=fill, starved=starved) is not None:
             continue
         placed = placement._on_executor[executor.executor_id]
-        score = placement.scores.of(executor, placed=placed)
+        score = placement.scores.score(executor, placed=placed)
         if score < best_score:
             best, best_score = executor, score
     return best
 
 
 def _unused(_rooms: PlanRooms, executor: ExecutorState) -> float:
-    return NONE_LEFT if executor.disturbed else leftover_cpu(executor)
+    return NO_UNUSED_CPU if executor.disturbed else remaining_cpu(executor)
 
 
 def _play() -> tuple[int, str]:
