--- a/src/linkspan/host/_impossible.py
+++ b/src/linkspan/host/_impossible.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from linkspan.shard.messages import large_enough
+from linkspan.shard.messages import fits_capacity
 
 if TYPE_CHECKING:
     from collections.abc import Collection
@@ -28,6 +28,6 @@
     if not capacities:
         return None
     for index, step in enumerate(spec.steps):
-        if not any(large_enough(step, capacity) for capacity in capacities):
+        if not any(fits_capacity(step, capacity) for capacity in capacities):
             return index
     return None
--- a/src/linkspan/shard/_log_rate_limiter.py
+++ b/src/linkspan/shard/_log_rate_limiter.py
@@ -19,7 +19,7 @@
     def __repr__(self) -> str:
         return f"LogRateLimiter({self._max_per_s})"
 
-    def take(self, now: float) -> int | None:
+    def admit(self, now: float) -> int | None:
         """Decide whether a line may be written.
 
         Args:
--- a/src/linkspan/shard/_reasons.py
+++ b/src/linkspan/shard/_reasons.py
@@ -22,7 +22,9 @@
     return f"{name.repetition}.{name.step}.{name.index}"
 
 
-def used_up(task: Task, failures: int, max_attempts: int | None) -> dict[str, Any]:
+def attempts_exhausted_fields(
+    task: Task, failures: int, max_attempts: int | None
+) -> dict[str, Any]:
     """Return the log fields for a job that fails because a task has used all of its attempts.
 
     Args:
--- a/src/linkspan/shard/_shard_state.py
+++ b/src/linkspan/shard/_shard_state.py
@@ -85,7 +85,7 @@
         executors_to_poll: Executors to poll at once.
         withheld_count: Number of ends withheld so far; comparing two values shows cheaply whether
             an end was withheld.
-        suspects: Tasks with a crash history, as an ordered set.
+        tasks_with_crash_history: Tasks with a crash history, as an ordered set.
         executor_crashes: Recent crashes of executors, the newest last.
         sole_owner_until: Steady time until which no later owner can have claimed the shard. A lease
             that ends by then has expired; a later owner may have renewed one that ends after it.
@@ -128,7 +128,7 @@
         self.dropped: list[bytes] = []
         self.executors_to_poll: set[str] = set()
         self.withheld_count = 0
-        self.suspects: dict[Task, None] = {}
+        self.tasks_with_crash_history: dict[Task, None] = {}
         self.executor_crashes: list[ExecutorCrash] = []
         self.sole_owner_until = float("inf")
         self.ready: dict[StepRun, None] = {}
@@ -164,7 +164,7 @@
         executor.withheld_ends |= self.withheld_ends.pop(name, set())
         self.membership_changes += 1
 
-    def outdated(self, executor: ExecutorState) -> bool:
+    def token_outdated(self, executor: ExecutorState) -> bool:
         """Return whether another incarnation may have received a higher token than this one's.
 
         If not, a call that is refused for its token proves that there is a newer owner.
@@ -257,7 +257,7 @@
         if executor:
             executor.remove(attempt)
 
-    def close(self, attempt: Attempt, now: float) -> None:
+    def close_attempt(self, attempt: Attempt, now: float) -> None:
         """Remove an attempt that is certain not to run, now or later."""
         self.detach(attempt)
         task = attempt.task
@@ -269,15 +269,15 @@
         """Set or clear a task's crash history."""
         task.crash_history = crash_history
         if crash_history:
-            self.suspects[task] = None
+            self.tasks_with_crash_history[task] = None
         else:
-            self.suspects.pop(task, None)
+            self.tasks_with_crash_history.pop(task, None)
 
-    def remove_finished_suspects(self) -> None:
-        """Remove suspects that are done or whose job has ended."""
-        finished = [t for t in self.suspects if t.done or t.step.run.job.closing]
+    def remove_finished_tasks(self) -> None:
+        """Remove tasks with a crash history that are done or whose job has ended."""
+        finished = [t for t in self.tasks_with_crash_history if t.done or t.step.run.job.closing]
         for task in finished:
-            del self.suspects[task]
+            del self.tasks_with_crash_history[task]
 
     def mark_ready(self, task: Task, now: float) -> None:
         """Mark a task as waiting for a start from now on."""
@@ -354,7 +354,7 @@
             )
         )
 
-    def start_again(self, attempt: Attempt, now: float) -> None:
+    def resend_or_stop(self, attempt: Attempt, now: float) -> None:
         """Resend an unanswered start, or stop the run if it is no longer wanted there.
 
         A new run on another executor could run at the same time as this one: an unanswered start
@@ -449,7 +449,7 @@
         name = short_name(task)
         self.log(event, job=task.job_id, task=name, run=run, **fields, executor=executor_id)
 
-    def forget_if_quiet(self, job: ShardJob) -> None:
+    def remove_if_idle(self, job: ShardJob) -> None:
         """Remove a job whose final record is durable once none of its runs can be alive."""
         if any(True for _ in job.attempts()):
             return
--- a/src/linkspan/shard/attempt.py
+++ b/src/linkspan/shard/attempt.py
@@ -53,7 +53,7 @@
         progress: Reported share of the work that is done, in percent.
         progress_at: Steady time at which the progress last rose.
         usage: Usage in the executor's last report that had one (see ``RunningTask.usage``).
-        over_since: Steady time since when a standing task exceeds its latency target.
+        over_target_since: Steady time since when a standing task exceeds its latency target.
         stop_sent_at: Steady time of the last stop order.
         stop_taken_at: Steady time at which the executor accepted a stop, ``None`` if it did not.
         listed: Whether a report of its incarnation has listed the run. An answer to the start does
@@ -84,7 +84,7 @@
     progress: int = 0
     progress_at: float = NEVER
     usage: float | None = None
-    over_since: float | None = None
+    over_target_since: float | None = None
     stop_sent_at: float = NEVER
     stop_taken_at: float | None = None
     listed: bool = False
@@ -103,7 +103,7 @@
         return self.task.name, self.run
 
     @property
-    def unanswered(self) -> bool:
+    def start_unanswered(self) -> bool:
         """Whether this tenure sent a start that is unanswered and may still arrive.
 
         Starts of previous owners do not count: an executor that has seen this tenure's token
@@ -125,16 +125,16 @@
     @property
     def recorded_starts(self) -> int:
         """Number of starts to record for the next owner; 0 if no start may still arrive."""
-        return self.starts if self.unanswered or self.start_may_arrive_until != NEVER else 0
+        return self.starts if self.start_unanswered or self.start_may_arrive_until != NEVER else 0
 
-    def worked_by(self, now: float) -> float:
+    def full_pace_s_at(self, now: float) -> float:
         """Return the work done up to a steady time, as seconds at full speed."""
         since = max(self.placed_at, self.paced_at)
         return self.full_pace_s + (now - since) * self.pace / FULL_PACE
 
     def set_pace(self, percent: int, now: float) -> None:
         """Record that the run works at a share of full speed, in percent, from now on."""
-        self.full_pace_s = self.worked_by(now)
+        self.full_pace_s = self.full_pace_s_at(now)
         self.paced_at = now
         self.pace = percent
         self.pace_confirmed = True
--- a/src/linkspan/shard/colocation/_plan_rooms.py
+++ b/src/linkspan/shard/colocation/_plan_rooms.py
@@ -61,7 +61,7 @@
         """
         unused = self._unused.get(executor.record.executor_id)
         if unused is None:
-            unused = NO_UNUSED_CPU if executor.disturbed else remaining_cpu(executor)
+            unused = NO_UNUSED_CPU if executor.over_latency_target else remaining_cpu(executor)
             self._unused[executor.record.executor_id] = unused
         return unused
 
@@ -72,9 +72,7 @@
         room = self._pressure_rooms.get(key)
         if room is None:
             best_effort = (
-                a
-                for a in executor.best_effort_attempts()
-                if self.timeliness(a.task.step) <= timeliness
+                a for a in executor.all_best_effort() if self.timeliness(a.task.step) <= timeliness
             )
             room = self._pressure_rooms[key] = PressureRoom(
                 executor, self._interference, self._now, best_effort
--- a/src/linkspan/shard/colocation/_pressure_room.py
+++ b/src/linkspan/shard/colocation/_pressure_room.py
@@ -51,7 +51,7 @@
         self._executor = executor
         self._interference = interference
         self._remaining: dict[str, float] = {}
-        for attempt in executor.standing():
+        for attempt in executor.latency_targeted():
             image = attempt.task.step.spec.image
             remaining = limit - interference.load(attempt, now)
             self._remaining[image] = min(remaining, self._remaining.get(image, remaining))
--- a/src/linkspan/shard/colocation/interference.py
+++ b/src/linkspan/shard/colocation/interference.py
@@ -112,7 +112,7 @@
             return
         self._learnt_at[executor.executor_id] = now
         cores = _cores_in_use(executor)
-        for attempt in executor.standing():
+        for attempt in executor.latency_targeted():
             ratio = latency_ratio(attempt)
             if ratio is not None:
                 self._correct(attempt, cores, pressure_of(ratio), now - MEASUREMENT_AGE_S)
@@ -168,7 +168,7 @@
     def worst_added(self, executor: ExecutorState, image: str, milli_cpu: float) -> float:
         """Return the maximum pressure that best-effort work would add to a standing task there."""
         cores = scaled_cores(executor, milli_cpu)
-        images = {a.task.step.spec.image for a in executor.standing()}
+        images = {a.task.step.spec.image for a in executor.latency_targeted()}
         return max((self.effect(standing, image) * cores for standing in images), default=0.0)
 
     def effects(self) -> tuple[PairEffect, ...]:
--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -68,7 +68,7 @@
             wall: Time of day, in seconds since 1970, for urgency.
         """
         self._interference.learn(executor, now)
-        standing = executor.standing()
+        standing = executor.latency_targeted()
         best_effort = executor.best_effort()
         for attempt in standing:
             self._track_over_target(attempt, len(best_effort), now)
@@ -79,7 +79,7 @@
         present = PressureRoom(
             executor, self._interference, now, best_effort, limit=MAX_KEPT_PACE_PRESSURE
         )
-        if present.is_exceeded or any(a.over_since is not None for a in standing):
+        if present.is_exceeded or any(a.over_target_since is not None for a in standing):
             self._reallocate(executor, standing, by_urgency, now)
         else:
             self._raise_paces(executor, by_urgency, now)
@@ -88,20 +88,20 @@
         """Track since when a standing task is over its target; log the duration at the end."""
         ratio = latency_ratio(attempt)
         if ratio is not None and ratio >= 1.0:
-            if attempt.over_since is None:
+            if attempt.over_target_since is None:
                 # The measurement covers the half second before it.
-                attempt.over_since = now - MEASUREMENT_PERIOD_S
+                attempt.over_target_since = now - MEASUREMENT_PERIOD_S
             return
-        if attempt.over_since is not None:
+        if attempt.over_target_since is not None:
             self._core.log(
                 Event.LATENCY_OVER,
                 executor=attempt.executor_id,
                 job=attempt.task.name.job_id,
                 image=attempt.task.step.spec.image,
-                over_s=round(now - MEASUREMENT_PERIOD_S - attempt.over_since, 2),
+                over_s=round(now - MEASUREMENT_PERIOD_S - attempt.over_target_since, 2),
                 best_effort=best_effort_count,
             )
-        attempt.over_since = None
+        attempt.over_target_since = None
 
     def _reallocate(
         self,
@@ -168,7 +168,7 @@
 
 def _over_target_factor(standing: list[Attempt], now: float) -> float:
     """Return the factor on all paces, below 1 if a standing task is over its target for long."""
-    since = [a.over_since for a in standing if a.over_since is not None]
+    since = [a.over_target_since for a in standing if a.over_target_since is not None]
     over_s = now - min(since, default=now)
     if over_s >= PAUSE_ALL_AFTER_S:
         return 0.0
--- a/src/linkspan/shard/core.py
+++ b/src/linkspan/shard/core.py
@@ -32,7 +32,7 @@
 from linkspan.shard.intake._jobs import JobIntake
 from linkspan.shard.orders._orders import Orders
 from linkspan.shard.reports._crashes import CrashTracker
-from linkspan.shard.reports._ends import Ends
+from linkspan.shard.reports._ends import EndHandler
 from linkspan.shard.reports._liveness import ExecutorLiveness
 from linkspan.shard.reports._reconciliation import ReportReconciler
 from linkspan.shard.reports._restarts import RestartTracker
@@ -87,7 +87,7 @@
         self._restarts = RestartTracker(self, self._crashes)
         self._liveness = ExecutorLiveness(self, self._crashes, self._restarts)
         self._reconciler = ReportReconciler(
-            self, Ends(self), self._liveness, self._restarts, self._crashes
+            self, EndHandler(self), self._liveness, self._restarts, self._crashes
         )
         self._intake = JobIntake(self)
         self._delegations = Delegations(self)
@@ -132,7 +132,7 @@
         """
         self._liveness.list_executors(records, now, missing=missing or {})
 
-    def on_gone(
+    def on_incarnation_ended(
         self, executor_id: str, now: float, proof: str, *, since: float | None = None
     ) -> None:
         """Handle the proved end of an incarnation and of its runs.
@@ -145,7 +145,7 @@
                 answers may come from the next one. ``None`` if its id can have no next
                 incarnation.
         """
-        self._liveness.on_gone(executor_id, now, proof, since=since)
+        self._liveness.on_incarnation_ended(executor_id, now, proof, since=since)
 
     def has_reported(self, executor_id: str) -> bool:
         """Return whether an incarnation has reported in this tenure."""
@@ -180,9 +180,9 @@
             asked: Steady time at which the call was sent.
             now: Steady time at which the answer arrived.
         """
-        self._restarts.find(executor_id, name, asked=asked, now=now)
+        self._restarts.on_incarnation_found(executor_id, name, asked=asked, now=now)
 
-    def unknown(self, job_ids: set[str]) -> set[str]:
+    def unknown_jobs(self, job_ids: set[str]) -> set[str]:
         """Return those of the given jobs that this tenure has never managed."""
         return {job_id for job_id in job_ids if job_id not in self.jobs} - self.departed_jobs
 
@@ -325,9 +325,9 @@
         """Revert a placement whose start order is still queued."""
         self._orders.unplace(attempt)
 
-    def waited(self, order: StartOrder, now: float) -> float:
+    def waiting_time_s(self, order: StartOrder, now: float) -> float:
         """Return for how long the task of a start order had been ready, in seconds."""
-        return self._orders.waited(order, now)
+        return self._orders.waiting_time_s(order, now)
 
     def on_started(self, order: StartOrder, answer: StartAnswer, now: float) -> None:
         """Handle an executor's answer to a start."""
--- a/src/linkspan/shard/crash_history.py
+++ b/src/linkspan/shard/crash_history.py
@@ -131,7 +131,7 @@
 
     @property
     def needs_isolation(self) -> bool:
-        """Whether the task must be started away from other suspects."""
+        """Whether the task must be started away from other tasks with a crash history."""
         return self.crash_score >= ISOLATION_SCORE
 
     @property
--- a/src/linkspan/shard/executor.py
+++ b/src/linkspan/shard/executor.py
@@ -19,7 +19,7 @@
     from linkspan.shard.messages import ExecutorRecord, TaskName
 
 
-NEVER_LEAVES = float("inf")
+FOREVER = float("inf")
 """A time after all others, for executors that have not announced to leave and for registrations
 that are not missing."""
 
@@ -66,7 +66,7 @@
         reported_at: Steady time at which its newest report was applied.
         answered_at: Steady time of the last answer that names this incarnation. A report is applied
             later, once the records of the jobs in it are read.
-        figures_at: Steady time at which usage figures of its runs were last applied.
+        usage_applied_at: Steady time at which usage figures of its runs were last applied.
         silent_since: Steady time of the first unanswered call since its last answer; ``None`` while
             it answers.
         last_handled_end: Number of the last handled end.
@@ -101,17 +101,17 @@
     reported_s: float = NEVER
     reported_at: float = NEVER
     answered_at: float = NEVER
-    figures_at: float = NEVER
+    usage_applied_at: float = NEVER
     silent_since: float | None = None
     last_handled_end: int = 0
     acknowledged: int = 0
     unacked: deque[UnackedEnd] = field(default_factory=deque)
     attempts: dict[tuple[TaskName, int], Attempt] = field(default_factory=dict)
     quarantined_until: float = NEVER
-    leaves_at: float = NEVER_LEAVES
+    leaves_at: float = FOREVER
     unknown_runs: bool = False
-    missing_since: float = NEVER_LEAVES
-    entry_removed_at: float = NEVER_LEAVES
+    missing_since: float = FOREVER
+    entry_removed_at: float = FOREVER
     expired_attempts: list[Attempt] = field(default_factory=list)
     largest_capacity: Demand = field(default_factory=Demand)
     offload_at: float | None = None
@@ -181,7 +181,7 @@
         return self.record.capacity.memory_mb - self._used_memory_mb
 
     @property
-    def overfull(self) -> bool:
+    def over_capacity(self) -> bool:
         """Whether its attempts exceed its capacity."""
         return self.free_cpu < 0 or self.free_memory < 0 or self.free_gpus < 0
 
@@ -191,7 +191,7 @@
         return self.record.capacity.gpus - self._used_gpus
 
     @property
-    def on_roster(self) -> ExecutorRecord:
+    def roster_record(self) -> ExecutorRecord:
         """Its record for the roster, with its largest capacity, as a reduction may be temporary."""
         return replace(
             self.record,
@@ -203,7 +203,7 @@
         """Apply its present registration."""
         self.record = record
         self.listed = True
-        self.missing_since = NEVER_LEAVES
+        self.missing_since = FOREVER
         self.largest_capacity = self.largest_capacity.union(record.capacity)
 
     def add(self, attempt: Attempt) -> None:
@@ -277,37 +277,39 @@
             advanced = True
         return advanced
 
-    def standing(self) -> list[Attempt]:
+    def latency_targeted(self) -> list[Attempt]:
         """Return running attempts of standing tasks with a latency target."""
         return [a for a in self._latency_targeted.values() if a.phase is Phase.RUNNING]
 
     @property
-    def disturbed(self) -> bool:
+    def over_latency_target(self) -> bool:
         """Whether a standing task there exceeds its latency target."""
-        return any(attempt.over_since is not None for attempt in self._latency_targeted.values())
+        return any(
+            attempt.over_target_since is not None for attempt in self._latency_targeted.values()
+        )
 
     def best_effort(self) -> list[Attempt]:
         """Return running best-effort attempts."""
         return [a for a in self._best_effort.values() if a.phase is Phase.RUNNING]
 
-    def best_effort_attempts(self) -> Iterable[Attempt]:
+    def all_best_effort(self) -> Iterable[Attempt]:
         """Return all best-effort attempts, including those not confirmed to be running."""
         return self._best_effort.values()
 
-    def timed(self) -> list[Attempt]:
+    def duration_checked(self) -> list[Attempt]:
         """Return running attempts whose duration shows whether they are stuck."""
         # Usually empty, and each planning round calls this for all executors.
         if not self._duration_checked:
             return []
         return [a for a in self._duration_checked.values() if a.phase is Phase.RUNNING]
 
-    def copied(self) -> list[Attempt]:
+    def copyable(self) -> list[Attempt]:
         """Return running attempts of tasks that may get a speculative copy."""
         if not self._copyable:
             return []
         return [a for a in self._copyable.values() if a.phase is Phase.RUNNING]
 
-    def slowed(self, below: int) -> list[Attempt]:
+    def paced_below(self, below: int) -> list[Attempt]:
         """Return running best-effort attempts whose pace is below a limit in percent."""
         if not self._best_effort:
             return []
--- a/src/linkspan/shard/handover/rebalance.py
+++ b/src/linkspan/shard/handover/rebalance.py
@@ -171,14 +171,14 @@
         halls: dict[int, HallSummary],
     ) -> Handover | None:
         spec = step.spec
-        # Only displaced tasks may use the headroom for short work.
-        pending = [task for task in pending if task.displaced] or pending
+        # Only tasks that have run before may use the headroom for short work.
+        pending = [task for task in pending if task.has_run_before] or pending
         for shard in _halls_by_preference(halls, pending[0]):
             hall = halls[shard]
             if not self._count_capable(shard, spec, job.service):
                 continue
             executor_cpu = hall.capacity / max(len(hall.rooms), 1)
-            headroom = 0.0 if pending[0].displaced else STANDING_HEADROOM * executor_cpu
+            headroom = 0.0 if pending[0].has_run_before else STANDING_HEADROOM * executor_cpu
             slots = hall.slots(spec.demand, headroom=headroom)
             if slots < 1:
                 continue
--- a/src/linkspan/shard/handover/summary.py
+++ b/src/linkspan/shard/handover/summary.py
@@ -18,7 +18,7 @@
 )
 from linkspan.errors import RecordError
 from linkspan.jobs.spec import Demand
-from linkspan.shard.messages import ExecutorKind, can_run, kinds_of
+from linkspan.shard.messages import ExecutorKind, can_run, group_by_kind
 
 if TYPE_CHECKING:
     from linkspan.jobs.spec import StepSpec
@@ -200,7 +200,7 @@
         queued=_pending_cpu(core, best_effort=False),
         standing=standing,
         rooms=tuple((e.free_cpu, e.free_memory) for e in usable),
-        kinds=kinds_of(
+        kinds=group_by_kind(
             e.record for e in core.executors.values() if e.listed and e.record.takes_new_work
         ),
         former_capacities=_former_capacities(core),
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -6,7 +6,7 @@
 
 from linkspan.errors import RecordError
 from linkspan.jobs.records import JobState
-from linkspan.shard._reasons import short_name, used_up
+from linkspan.shard._reasons import attempts_exhausted_fields, short_name
 from linkspan.shard.crash_history import GIVE_UP_REASON, delegated_crash_history
 from linkspan.shard.job_run import INHERITED_RUN_GAP, new_run
 from linkspan.shard.messages import TaskName
@@ -67,7 +67,7 @@
         job = ShardJob(submitted, inherited=inherited, moved=moved, begun=begun)
         job.delegated_here = delegated_here is not None
         if submitted.terms:
-            job.take_terms(submitted.terms, submitted.version)
+            job.apply_terms(submitted.terms, submitted.version)
         self._state.jobs[job.job_id] = job
         self.refresh_queue(job)
         errors: list[str] = []
@@ -144,8 +144,8 @@
         for step in run.steps:
             worst = max(step.tasks, key=lambda t: t.failures)
             failures = step.failures if step.spec.gang else worst.failures
-            if run.job.used_up(failures) and not step.spec.standing:
-                why = used_up(worst, failures, run.job.max_attempts)
+            if run.job.attempts_exhausted(failures) and not step.spec.standing:
+                why = attempts_exhausted_fields(worst, failures, run.job.max_attempts)
                 self._state.decide(run.job, JobState.FAILED, **why)
             for task in step.tasks:
                 if task.crash_history and task.crash_history.must_give_up:
@@ -174,7 +174,7 @@
         configuration = self._state.configuration
         queue = configuration and configuration.queues.get(job.spec.queue)
         if configuration and queue:
-            job.take_terms(queue.terms, configuration.version)
+            job.apply_terms(queue.terms, configuration.version)
         update_expected_durations(job, self._state.durations)
 
     def configure(self, configuration: Configuration) -> None:
@@ -215,7 +215,7 @@
             self._state.dirty.pop((job_id, run.repetition), None)
             self._state.dropped.append(key_of(run))
         job.closing = True
-        self._state.forget_if_quiet(job)
+        self._state.remove_if_idle(job)
 
     def drop_progress(self, job_id: str, repetitions: Iterable[int]) -> None:
         """Request the removal of progress records of a finished or unknown job."""
--- a/src/linkspan/shard/job_run.py
+++ b/src/linkspan/shard/job_run.py
@@ -45,11 +45,11 @@
         return all(step.remaining_tasks == 0 for step in self.steps)
 
     @property
-    def work_left(self) -> float:
+    def remaining_work(self) -> float:
         """Remaining work of all its tasks, in thousandths of a core times seconds."""
         durations_s = self.job.expected_durations_s
         return sum(
-            step.tasks_left * step.spec.demand.milli_cpu * durations_s[step.index]
+            step.remaining_task_shares * step.spec.demand.milli_cpu * durations_s[step.index]
             for step in self.steps
             if step.remaining_tasks
         )
--- a/src/linkspan/shard/machines.py
+++ b/src/linkspan/shard/machines.py
@@ -87,11 +87,11 @@
         return f"MachineWatch({len(self._missing_since)} missed)"
 
     @property
-    def missed(self) -> frozenset[str]:
+    def missing(self) -> frozenset[str]:
         """Names of the executors that the last conclusive list did not contain."""
         return frozenset(self._missing_since)
 
-    def gone(
+    def find_ended(
         self, machines: MachineList, known: AbstractSet[str], *, asked: float = 0.0
     ) -> dict[str, float]:
         """Return the executors that have ended, with the time since when they are missing.
--- a/src/linkspan/shard/messages.py
+++ b/src/linkspan/shard/messages.py
@@ -88,7 +88,7 @@
     count: int
 
 
-def kinds_of(executors: Iterable[ExecutorRecord]) -> tuple[ExecutorKind, ...]:
+def group_by_kind(executors: Iterable[ExecutorRecord]) -> tuple[ExecutorKind, ...]:
     """Group executors by service, capacity and labels."""
     counts = Counter((e.service, e.capacity, e.labels) for e in executors)
     return tuple(ExecutorKind(*kind, count) for kind, count in counts.items())
@@ -97,10 +97,10 @@
 def can_run(step: StepSpec, executor: ExecutorRecord | ExecutorKind) -> bool:
     """Return whether an executor without other work could run a task of a step."""
     label_matches = not step.label or step.label in executor.labels
-    return label_matches and large_enough(step, executor.capacity)
+    return label_matches and fits_capacity(step, executor.capacity)
 
 
-def large_enough(step: StepSpec, capacity: Demand) -> bool:
+def fits_capacity(step: StepSpec, capacity: Demand) -> bool:
     """Return whether a task of a step fits into a total capacity, regardless of labels."""
     demand = step.demand
     return (
--- a/src/linkspan/shard/orders/_calls.py
+++ b/src/linkspan/shard/orders/_calls.py
@@ -19,15 +19,15 @@
 
     Args:
         link: Returns a client that makes calls under a token.
-        outdated: Whether this tenure itself may have announced a higher token to the executor's
-            next incarnation.
+        token_outdated: Whether this tenure itself may have announced a higher token to the
+            executor's next incarnation.
     """
 
     def __init__(
-        self, link: Callable[[int], Executors], outdated: Callable[[ExecutorState], bool]
+        self, link: Callable[[int], Executors], token_outdated: Callable[[ExecutorState], bool]
     ) -> None:
         self._link = link
-        self._outdated = outdated
+        self._token_outdated = token_outdated
 
     def __repr__(self) -> str:
         return f"ExecutorCalls({self._link!r})"
@@ -44,7 +44,7 @@
         try:
             yield self._link(executor.token)
         except Fenced as error:
-            if not self._outdated(executor):
+            if not self._token_outdated(executor):
                 raise
             raise Unreachable(
                 f"{executor.executor_id}: its next incarnation answers: {error}"
--- a/src/linkspan/shard/orders/_dispatch.py
+++ b/src/linkspan/shard/orders/_dispatch.py
@@ -99,7 +99,7 @@
         orders, core.orders = core.orders, []
         for order in orders:
             if isinstance(order, StartOrder):
-                self._metrics.observe("start_wait", core.waited(order, steady()))
+                self._metrics.observe("start_wait", core.waiting_time_s(order, steady()))
         for order in orders:
             self._scope.spawn(self._send(order))
         to_poll, core.executors_to_poll = core.executors_to_poll, set()
@@ -148,7 +148,9 @@
             # The addressed incarnation ended before the order arrived, so the run was not there
             # when that incarnation crashed.
             self._on_undelivered(order)
-            self._core.on_gone(order.executor_id, steady(), "another incarnation answers")
+            self._core.on_incarnation_ended(
+                order.executor_id, steady(), "another incarnation answers"
+            )
         except Unconnected as error:
             self._count_unreachable(order)
             self._core.on_silent(order.executor_id, steady(), cause=str(error))
--- a/src/linkspan/shard/orders/_orders.py
+++ b/src/linkspan/shard/orders/_orders.py
@@ -7,7 +7,7 @@
 from linkspan.events import Event
 from linkspan.shard.attempt import FULL_PACE, Attempt, Phase
 from linkspan.shard.messages import PaceOrder, StartOrder, StartOutcome
-from linkspan.shard.reports.health import UNHEALTHY_PAUSE_S
+from linkspan.shard.reports.health import UNHEALTHY_QUARANTINE_S
 
 if TYPE_CHECKING:
     from linkspan.shard._shard_state import ShardState
@@ -75,7 +75,7 @@
         self._state.detach(attempt)
         attempt.task.next_run = attempt.run
 
-    def waited(self, order: StartOrder, now: float) -> float:
+    def waiting_time_s(self, order: StartOrder, now: float) -> float:
         """Return how long a start's task has been waiting, in seconds."""
         task = self._state.find_task(order.task)
         return max(now - task.ready_since, 0.0) if task else 0.0
@@ -102,7 +102,9 @@
             Event.START_REFUSED, order.executor_id, order.task, order.run, reason=reason
         )
         if answer.outcome is StartOutcome.UNHEALTHY:
-            executor.quarantined_until = max(executor.quarantined_until, now + UNHEALTHY_PAUSE_S)
+            executor.quarantined_until = max(
+                executor.quarantined_until, now + UNHEALTHY_QUARANTINE_S
+            )
         if answer.outcome is StartOutcome.INVALID:
             attempt.task.avoided_executors.add(order.executor_id)
         if answer.outcome is StartOutcome.NO_TICKET:
@@ -113,7 +115,7 @@
             # An earlier order to start the same run may still be carried out.
             self._state.order_stop(attempt, now)
         else:
-            self._state.close(attempt, now)
+            self._state.close_attempt(attempt, now)
 
     def _record_confirmation(self, attempt: Attempt) -> None:
         """Rewrite a run's record after its start was confirmed, without urgency.
@@ -152,7 +154,7 @@
         if attempt.start_may_arrive_until > now:
             attempt.phase = Phase.DOUBT
         else:
-            self._state.close(attempt, now)
+            self._state.close_attempt(attempt, now)
 
     def on_stopped(self, order: StopOrder, taken: bool, now: float) -> None:
         """Apply an executor's answer to a stop.
@@ -190,7 +192,7 @@
                 for attempt in job.attempts():
                     if attempt.phase is not Phase.STOPPING:
                         self._state.order_stop(attempt, now)
-                self._state.forget_if_quiet(job)
+                self._state.remove_if_idle(job)
 
     def stop(self, attempt: Attempt, now: float, *, reason: str) -> None:
         """Stop an attempt so that its task continues on another executor."""
--- a/src/linkspan/shard/planning/_isolation.py
+++ b/src/linkspan/shard/planning/_isolation.py
@@ -83,7 +83,7 @@
         """Return the executors that take no other work, as the next crash there gives up a task."""
         return {
             attempt.executor_id
-            for task in self._core.suspects
+            for task in self._core.tasks_with_crash_history
             if task.at_crash_limit
             for attempt in task.attempts
             if self._now - attempt.placed_at < EARLY_CRASH_S
@@ -93,7 +93,7 @@
         """Return the executors where an isolated run started within :data:`EARLY_CRASH_S`."""
         return {
             attempt.executor_id
-            for task in self._core.suspects
+            for task in self._core.tasks_with_crash_history
             if task.needs_isolation
             for attempt in task.attempts
             if self._now - attempt.placed_at < EARLY_CRASH_S
--- a/src/linkspan/shard/planning/_moves.py
+++ b/src/linkspan/shard/planning/_moves.py
@@ -101,7 +101,7 @@
 
     def _all_running(self, step: StepRun) -> bool:
         """Whether every task of a standing step is running, all of them in this shard."""
-        return step.spec.standing and not step.spec.gang and step.all_at_work
+        return step.spec.standing and not step.spec.gang and step.all_running
 
     def _fits_elsewhere(self, attempt: Attempt) -> bool:
         step = attempt.task.step
@@ -114,12 +114,14 @@
         for executor in self._core.executors.values():
             if executor.silent_since is not None or executor.draining:
                 continue
-            for attempt in executor.timed():
+            for attempt in executor.duration_checked():
                 if self._is_straggler(attempt):
                     task = attempt.task
                     task.moves += 1
                     task.avoided_executors.add(executor.executor_id)
-                    self._core.health.took(executor.executor_id, STRAGGLER_FACTOR * 2, self._now)
+                    self._core.health.record_duration_ratio(
+                        executor.executor_id, STRAGGLER_FACTOR * 2, self._now
+                    )
                     self._core.stop(attempt, self._now, reason="runs far longer than its siblings")
 
     def _is_straggler(self, attempt: Attempt) -> bool:
@@ -139,7 +141,7 @@
     def _move_interfering(self) -> None:
         """Move best-effort runs with a reduced pace to executors where they interfere less."""
         for executor in list(self._core.executors.values()):
-            for attempt in executor.slowed(MOVE_BELOW_PACE_PERCENT):
+            for attempt in executor.paced_below(MOVE_BELOW_PACE_PERCENT):
                 if self._interferes_less_elsewhere(attempt, executor):
                     self._core.stop(
                         attempt, self._now, reason="interferes with standing tasks here"
--- a/src/linkspan/shard/planning/_offloading.py
+++ b/src/linkspan/shard/planning/_offloading.py
@@ -41,7 +41,7 @@
     def add_orders(self) -> None:
         """Add the stops that are due now."""
         for executor in self._core.executors.values():
-            if not executor.overfull:
+            if not executor.over_capacity:
                 executor.offload_at = None
             elif executor.offload_at is None:
                 executor.offload_at = self._now + OFFLOAD_DELAY_S
@@ -66,7 +66,7 @@
             # Stopping one task of a gang loses the work of all; the policy may refuse a ticket
             # for any other executor.
             return False
-        if step.spec.standing and not step.all_at_work:
+        if step.spec.standing and not step.all_running:
             return False
         others = [e for e in self._view.usable() if e is not executor]
         if self._view.placement(step, others).choose(attempt.task) is None:
--- a/src/linkspan/shard/planning/_speculative_copies.py
+++ b/src/linkspan/shard/planning/_speculative_copies.py
@@ -30,7 +30,7 @@
     def add_orders(self) -> None:
         """Start copies of runs that take much longer than their siblings."""
         for executor in list(self._core.executors.values()):
-            for attempt in executor.copied():
+            for attempt in executor.copyable():
                 if self._needs_copy(attempt):
                     self._copy(attempt, executor)
 
--- a/src/linkspan/shard/planning/_step_scores.py
+++ b/src/linkspan/shard/planning/_step_scores.py
@@ -82,7 +82,7 @@
         score = STANDING_LOAD_WEIGHT * load if spec.standing else load
         if spec.data_rack and spec.data_rack not in executor.record.labels:
             score += REMOTE_DATA_PENALTY
-        if self.health.slow(executor.executor_id, self.now):
+        if self.health.is_slow(executor.executor_id, self.now):
             score += SLOW_EXECUTOR_PENALTY
         if spec.standing:
             score += self._colocation_score(executor, capacity)
--- a/src/linkspan/shard/planning/placement.py
+++ b/src/linkspan/shard/planning/placement.py
@@ -251,7 +251,7 @@
 
     def _may_use_headroom(self, task: Task) -> bool:
         """Whether a standing task may use the headroom for short ones."""
-        return task.displaced or self.now - task.ready_since >= HEADROOM_WAIT_S
+        return task.has_run_before or self.now - task.ready_since >= HEADROOM_WAIT_S
 
     def _reason_against_best_effort(self, executor: ExecutorState, *, starved: bool) -> str | None:
         """Return why an executor cannot take one more best-effort task; ``None`` if it can."""
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -52,7 +52,7 @@
         core = self._core
         view = PlanView(core, PlanRooms(core.interference, now, wall), now)
         core.release_due(wall, now)
-        core.remove_finished_suspects()
+        core.remove_finished_tasks()
         Moves(view).add_orders()
         for step, waiting in self._steps_by_urgency(wall):
             if core.may_start(step.run.job, now):
@@ -74,8 +74,8 @@
 
     def _place_step(self, step: StepRun, waiting: list[Task], view: PlanView) -> None:
         pending = [t for t in waiting if t.not_before <= view.now]
-        if self._core.suspects:
-            pending = [t for t in pending if t.on_record]
+        if self._core.tasks_with_crash_history:
+            pending = [t for t in pending if t.crash_history_durable]
         if not pending:
             return
         placement = view.placement(step)
@@ -89,7 +89,11 @@
         if step.spec.gang:
             placed = self._place_gang(placement, pending, view.isolated_placement())
         else:
-            to_isolate = [t for t in pending if t.needs_isolation] if self._core.suspects else []
+            to_isolate = (
+                [t for t in pending if t.needs_isolation]
+                if self._core.tasks_with_crash_history
+                else []
+            )
             others = [t for t in pending if not t.needs_isolation] if to_isolate else pending
             placed = self._place_each(placement, others)
             placed += self._place_isolated(placement, to_isolate, view)
--- a/src/linkspan/shard/planning/urgency.py
+++ b/src/linkspan/shard/planning/urgency.py
@@ -66,7 +66,7 @@
     timeliness = _timeliness(step, age + remaining_s, slack)
     if step.spec.standing:
         return Urgency(not restart, job.priority, timeliness, slack)
-    rank = -age if timeliness is Timeliness.NONE else step.run.work_left
+    rank = -age if timeliness is Timeliness.NONE else step.run.remaining_work
     return Urgency(not restart, job.priority, timeliness, rank)
 
 
@@ -86,7 +86,7 @@
     job = step.run.job
     schedule = job.spec.schedule
     due_at = schedule.due(step.run.repetition) if schedule else job.submitted.accepted_at
-    done_s = job.expected_durations_s[step.index] * (1.0 - step.share_left)
+    done_s = job.expected_durations_s[step.index] * (1.0 - step.remaining_share)
     return wall - due_at, job.remaining_path_s[step.index] - done_s
 
 
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -130,14 +130,14 @@
         records += [Record(encode_run(run), key_of(run)) for run in runs]
         roster, withheld_count = frozenset(core.executors), core.withheld_count
         if self._changes.roster_changed():
-            roster_value = encode_roster(e.on_roster for e in core.executors.values())
+            roster_value = encode_roster(e.roster_record for e in core.executors.values())
             records.append(Record(roster_value, ROSTER_KEY))
         if not records:
             return
         await self._writer.write(records)
         self._changes.roster = roster
         self._changes.withheld_count = withheld_count
-        if self._core.suspects:
+        if self._core.tasks_with_crash_history:
             # Tasks with a crash history wait until their crashes are recorded.
             self._changes.wake.set()
         self._mark_durable(runs, versions, roster)
--- a/src/linkspan/shard/recovery/_task_row.py
+++ b/src/linkspan/shard/recovery/_task_row.py
@@ -132,7 +132,7 @@
     crashes, score, failed, identified, deferred, saved_by, limit = _padded(EMPTY_FIELDS, more)
     if limit:
         max_attempts, *version = parse_list(limit)
-        task.step.run.job.take_limit(
+        task.step.run.job.apply_limit(
             parse_int(max_attempts), parse_int(version[0]) if version else None
         )
     task.crash_history = _restore_crash_history(crashes, score, identified, deferred)
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -84,7 +84,7 @@
     def __repr__(self) -> str:
         return f"CrashTracker({len(self._state.executor_crashes)} falls)"
 
-    def on_gone(self, executor: ExecutorState, now: float, proof: str) -> None:
+    def on_incarnation_ended(self, executor: ExecutorState, now: float, proof: str) -> None:
         """Handle the end of an incarnation whose attempts are still in the shard's state."""
         self._on_end(executor, now, proof, ended=True)
 
@@ -116,7 +116,7 @@
         ]
         tasks = [
             t
-            for t in self._state.suspects
+            for t in self._state.tasks_with_crash_history
             if t.crash_history and t.crash_history.crash_of(incarnation)
         ]
         for task in tasks:
--- a/src/linkspan/shard/reports/_ends.py
+++ b/src/linkspan/shard/reports/_ends.py
@@ -7,7 +7,7 @@
 from linkspan.events import Event
 from linkspan.jobs.records import JobState
 from linkspan.shard._log_rate_limiter import LogRateLimiter
-from linkspan.shard._reasons import used_up
+from linkspan.shard._reasons import attempts_exhausted_fields
 from linkspan.shard.attempt import NEVER
 from linkspan.shard.executor import UnackedEnd
 from linkspan.shard.failures import FailedRun
@@ -33,7 +33,7 @@
 of ended jobs, and finding one run means searching the logs of all hosts."""
 
 
-class Ends:
+class EndHandler:
     """Applies the ends that executors report.
 
     Args:
@@ -45,7 +45,7 @@
         self._unknown_ends = LogRateLimiter(MAX_UNKNOWN_LINES_PER_S)
 
     def __repr__(self) -> str:
-        return f"Ends({self._state!r})"
+        return f"EndHandler({self._state!r})"
 
     def on_end(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
         """Apply an end; it is acknowledged once its consequences are durable."""
@@ -69,7 +69,7 @@
 
     def _log_unknown(self, executor: ExecutorState, end: EndedTask, now: float) -> None:
         """Log an end of an unknown job, which has no effect on durable state."""
-        left_out = self._unknown_ends.take(now)
+        left_out = self._unknown_ends.admit(now)
         if left_out is None:
             return
         self._state.log_run(
@@ -111,7 +111,7 @@
         if attempt and attempt.confirmed_at > 0 and not attempt.recovered:
             # The start of a recovered run was not observed: the measured remainder would make
             # similar runs look like stragglers.
-            self._record_task_duration(executor, task, attempt.worked_by(now), now)
+            self._record_task_duration(executor, task, attempt.full_pace_s_at(now), now)
         if task.step.spec.gang:
             for member in task.step.tasks:
                 self._mark_done(member, now)
@@ -151,7 +151,9 @@
             return
         median_s = step.median_s
         if median_s > 0:
-            self._state.health.took(executor.executor_id, duration_s / median_s, now)
+            self._state.health.record_duration_ratio(
+                executor.executor_id, duration_s / median_s, now
+            )
 
     def _on_failed(self, executor: ExecutorState, task: Task, end: EndedTask, now: float) -> None:
         job = task.step.run.job
@@ -174,8 +176,8 @@
         task.avoided_executors.add(executor.executor_id)
         self._log_failed(executor, end, **counts)
         self._quarantine_if_failing(executor, task, now)
-        if job.used_up(failures):
-            why = used_up(task, failures, job.max_attempts)
+        if job.attempts_exhausted(failures):
+            why = attempts_exhausted_fields(task, failures, job.max_attempts)
             self._state.decide(job, JobState.FAILED, **why, run=end.run)
 
     def _log_failed(
--- a/src/linkspan/shard/reports/_liveness.py
+++ b/src/linkspan/shard/reports/_liveness.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from linkspan.events import Event
-from linkspan.shard.executor import NEVER_LEAVES, ExecutorState
+from linkspan.shard.executor import FOREVER, ExecutorState
 from linkspan.shard.incarnation import Incarnation
 from linkspan.shard.reports._restarts import uncertain_attempts
 
@@ -99,8 +99,8 @@
                 # Keep the earliest time: an outage of the store moves the reported one.
                 executor.entry_removed_at = min(missing[executor_id], executor.entry_removed_at)
             else:
-                executor.entry_removed_at = NEVER_LEAVES
-            if record.draining and executor.leaves_at == NEVER_LEAVES:
+                executor.entry_removed_at = FOREVER
+            if record.draining and executor.leaves_at == FOREVER:
                 self._state.log(
                     Event.EXECUTOR_DRAINING, executor=executor_id, remaining_s=record.remaining_s
                 )
@@ -108,11 +108,13 @@
         for executor_id, executor in list(self._state.executors.items()):
             if executor_id in listed:
                 continue
-            if executor.missing_since == NEVER_LEAVES:
+            if executor.missing_since == FOREVER:
                 executor.missing_since = now if executor.listed else now + INHERITED_ENTRY_GRACE_S
             executor.listed = False
 
-    def on_gone(self, executor_id: str, now: float, proof: str, *, since: float | None) -> None:
+    def on_incarnation_ended(
+        self, executor_id: str, now: float, proof: str, *, since: float | None
+    ) -> None:
         """Handle the end of an incarnation and of everything that ran on it.
 
         Args:
@@ -138,7 +140,7 @@
             unsure=len(uncertain),
         )
         if not executor.is_placeholder:
-            self._crashes.on_gone(executor, now, proof)
+            self._crashes.on_incarnation_ended(executor, now, proof)
         if uncertain:
             self._restarts.carry_over_to_next(executor, uncertain, now)
         # The registry entry may outlive the incarnation, so its name is remembered as ended.
@@ -232,4 +234,4 @@
         kept = set(keep)
         for attempt in list(executor.attempts.values()):
             if attempt not in kept:
-                self._state.close(attempt, now)
+                self._state.close_attempt(attempt, now)
--- a/src/linkspan/shard/reports/_reconciliation.py
+++ b/src/linkspan/shard/reports/_reconciliation.py
@@ -16,7 +16,7 @@
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.messages import ExecutorReport, RunningTask, TaskName
     from linkspan.shard.reports._crashes import CrashTracker
-    from linkspan.shard.reports._ends import Ends
+    from linkspan.shard.reports._ends import EndHandler
     from linkspan.shard.reports._liveness import ExecutorLiveness
     from linkspan.shard.reports._restarts import RestartTracker
     from linkspan.shard.task import Task
@@ -36,7 +36,7 @@
     def __init__(
         self,
         state: ShardState,
-        ends: Ends,
+        ends: EndHandler,
         liveness: ExecutorLiveness,
         restarts: RestartTracker,
         crashes: CrashTracker,
@@ -191,7 +191,7 @@
             elif attempt.stop_taken_at is not None and attempt.stop_taken_at <= asked:
                 self._on_refused(attempt, now)
             elif attempt.phase is Phase.DOUBT:
-                self._state.start_again(attempt, now)
+                self._state.resend_or_stop(attempt, now)
             elif attempt.phase is Phase.RUNNING and attempt.confirmed_at < asked:
                 self._state.log_run(Event.RUN_LOST, executor.executor_id, *key)
                 self._state.order_stop(attempt, now)
@@ -204,7 +204,7 @@
         """
         may_restart = Incarnation.of(attempt.executor_id).started_at_ms is not None
         if not may_restart or attempt.start_may_arrive_until <= now:
-            self._state.close(attempt, now)
+            self._state.close_attempt(attempt, now)
 
     def _on_inherited_start(self, attempt: Attempt, now: float) -> None:
         """Resolve a recorded attempt of a former owner that its executor does not list.
@@ -219,10 +219,10 @@
         if attempt.phase is not Phase.INHERITED:
             return
         if attempt.start_may_arrive_until <= now:
-            self._state.close(attempt, now)
+            self._state.close_attempt(attempt, now)
         elif self._liveness.may_start(attempt.task.step.run.job, now):
             attempt.phase = Phase.DOUBT
-            self._state.start_again(attempt, now)
+            self._state.resend_or_stop(attempt, now)
         else:
             # The former owner may have abandoned this run since and started a later one.
             self._waiting_starts[attempt] = None
--- a/src/linkspan/shard/reports/_restarts.py
+++ b/src/linkspan/shard/reports/_restarts.py
@@ -55,7 +55,7 @@
         if not executor.is_placeholder:
             self._ended_at[executor.executor_id] = now
         self._state.resolve_inherited(executor.executor_id, "gone")
-        self._state.health.forget(executor.executor_id)
+        self._state.health.remove(executor.executor_id)
 
     def match_report(
         self, executor_id: str, report: ExecutorReport, *, asked: float, now: float
@@ -90,7 +90,9 @@
             self._end_previous(previous, executor, report, asked, now)
         return executor
 
-    def find(self, executor_id: str, name: str, *, asked: float, now: float) -> None:
+    def on_incarnation_found(
+        self, executor_id: str, name: str, *, asked: float, now: float
+    ) -> None:
         """Add an incarnation that answered in place of another, unless it had ended already."""
         if asked <= self._ended_at.get(name, NEVER):
             self.log_ignored_report(
@@ -119,7 +121,7 @@
     def log_ignored_report(self, executor_id: str, reason: str, now: float) -> None:
         """Count and log a report that is ignored."""
         self._state.count("reports_passed_over")
-        left_out = self._ignored_reports.take(now)
+        left_out = self._ignored_reports.admit(now)
         if left_out is not None:
             self._state.log(
                 Event.REPORT_PASSED_OVER, executor=executor_id, reason=reason, left_out=left_out
@@ -156,19 +158,21 @@
                 # A start sent to the previous incarnation arrived at this one.
                 self._move_to_next(attempt, previous, executor, now)
         if _was_observed(previous):
-            self._crashes.on_gone(previous, now, NEXT_INCARNATION_PROOF)
+            self._crashes.on_incarnation_ended(previous, now, NEXT_INCARNATION_PROOF)
             self._state.count("restarts")
         uncertain = [
             a
             for a in previous.attempts.values()
-            if a.unanswered or a.start_may_arrive_until > now or _may_be_unlisted(a, report, asked)
+            if a.start_unanswered
+            or a.start_may_arrive_until > now
+            or _may_be_unlisted(a, report, asked)
         ]
         for attempt in uncertain:
             self._move_to_next(attempt, previous, executor, now)
         self.end(previous, now)
         lost = list(previous.attempts.values())
         for attempt in lost:
-            self._state.close(attempt, now)
+            self._state.close_attempt(attempt, now)
         self._state.log(
             Event.EXECUTOR_RESTARTED,
             executor=executor.executor_id,
@@ -220,7 +224,7 @@
     return [
         a
         for a in executor.attempts.values()
-        if a.unanswered
+        if a.start_unanswered
         or a.start_may_arrive_until > since
         or (not a.listed and a.confirmed_at >= since)
         # An incarnation that never answered has not seen this tenure's fencing token, which makes
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -86,7 +86,7 @@
     """Whether a start may still arrive at the executor and its run may end before the next poll."""
     if attempt.phase is Phase.STARTING:
         return True
-    may_arrive = attempt.unanswered or attempt.start_may_arrive_until > now
+    may_arrive = attempt.start_unanswered or attempt.start_may_arrive_until > now
     return may_arrive and attempt.task.step.expected_s < SHORT_RUN_S
 
 
@@ -143,11 +143,11 @@
         """Poll an executor for its report now."""
         await self._poll(executor, 0.0)
 
-    async def machines_loop(self) -> None:
+    async def poll_machines_loop(self) -> None:
         """Detect executors whose machine is gone, if the platform has a machine service."""
         tracker = MachineWatch()
         while self._machines:
-            suspects = tracker.missed & self._silent()
+            suspects = tracker.missing & self._silent()
             await asyncio.sleep(MACHINE_RECHECK_INTERVAL_S if suspects else MACHINE_POLL_INTERVAL_S)
             known = suspects or self._rostered()
             if not known:
@@ -158,8 +158,8 @@
             except Unreachable:
                 # The machine service only speeds up detection; expired leases are sufficient.
                 continue
-            for executor_id, since in tracker.gone(machines, known, asked=asked).items():
-                self._core.on_gone(
+            for executor_id, since in tracker.find_ended(machines, known, asked=asked).items():
+                self._core.on_incarnation_ended(
                     executor_id, steady(), "machine service no longer lists it", since=since
                 )
                 self._watch_new_incarnations()
@@ -196,7 +196,7 @@
             # A poll that acknowledges ends may reach the next incarnation. If the poll waited
             # there, it would acknowledge ends that nobody has read.
             return 0.0
-        if executor.best_effort() and executor.standing():
+        if executor.best_effort() and executor.latency_targeted():
             return PACED_POLL_WAIT_S
         return min(MAX_POLL_WAIT_S, self._settings.bounds.max_lease_s / MIN_POLLS_PER_LEASE)
 
@@ -218,7 +218,9 @@
                     wait_s=wait_s,
                 )
         except WrongIncarnation:
-            self._core.on_gone(executor.executor_id, steady(), "another incarnation answers")
+            self._core.on_incarnation_ended(
+                executor.executor_id, steady(), "another incarnation answers"
+            )
             self._watch_new_incarnations()
             self._changes.notify()
             return False
@@ -239,8 +241,8 @@
         now = steady()
         self._count_ends(name, report)
         self._core.on_report(executor.executor_id, report, asked=asked, now=now)
-        if wait_s or now - executor.figures_at >= MIN_FIGURES_INTERVAL_S:
-            executor.figures_at = now
+        if wait_s or now - executor.usage_applied_at >= MIN_FIGURES_INTERVAL_S:
+            executor.usage_applied_at = now
             self._pacer.on_report(executor, now, time.time())
         self._watch_new_incarnations()
         self._changes.notify()
@@ -254,7 +256,7 @@
         have finished a job and acknowledged its ends: a run that an executor's first report omits
         counts as not started only by job records read after that report.
         """
-        unknown = self._core.unknown(report.job_ids)
+        unknown = self._core.unknown_jobs(report.job_ids)
         if not unknown and not first:
             return report
         if first:
--- a/src/linkspan/shard/reports/health.py
+++ b/src/linkspan/shard/reports/health.py
@@ -14,7 +14,7 @@
 MAX_QUARANTINE_S = 8.0
 """Longest quarantine: a faulty executor stays faulty for 5 to 8 seconds."""
 
-UNHEALTHY_PAUSE_S = 1.0
+UNHEALTHY_QUARANTINE_S = 1.0
 """Quarantine after an executor refused a start as unhealthy, in seconds."""
 
 SLOW_FACTOR = 2.5
@@ -75,7 +75,7 @@
         record.next_quarantine_s = min(2 * record.next_quarantine_s, MAX_QUARANTINE_S)
         return until
 
-    def took(self, executor_id: str, ratio: float, now: float) -> None:
+    def record_duration_ratio(self, executor_id: str, ratio: float, now: float) -> None:
         """Record the duration of a run.
 
         Args:
@@ -88,11 +88,11 @@
         if record.slowness >= SLOW_FACTOR:
             record.slow_until = now + SLOW_MARK_S
 
-    def slow(self, executor_id: str, now: float) -> bool:
+    def is_slow(self, executor_id: str, now: float) -> bool:
         """Whether the executor currently counts as slow."""
         record = self._records.get(executor_id)
         return record is not None and now < record.slow_until
 
-    def forget(self, executor_id: str) -> None:
+    def remove(self, executor_id: str) -> None:
         """Remove the health of an incarnation that has ended."""
         self._records.pop(executor_id, None)
--- a/src/linkspan/shard/shard_job.py
+++ b/src/linkspan/shard/shard_job.py
@@ -81,7 +81,7 @@
         """The job's id."""
         return self.submitted.spec.job_id
 
-    def take_limit(self, max_attempts: int, version: int | None) -> None:
+    def apply_limit(self, max_attempts: int, version: int | None) -> None:
         """Apply a limit of failed runs, unless a newer one is known.
 
         If it is unknown which limit is newer, the larger one applies, because failing a job is
@@ -97,7 +97,7 @@
         elif version is not None and version > self.limit_version:
             self.max_attempts, self.limit_version = max_attempts, version
 
-    def take_terms(self, terms: QueueTerms, version: int | None) -> None:
+    def apply_terms(self, terms: QueueTerms, version: int | None) -> None:
         """Apply a queue's terms, unless newer ones are known.
 
         Args:
@@ -106,7 +106,7 @@
         """
         if version is not None and self.limit_version is not None and version < self.limit_version:
             return
-        self.take_limit(terms.max_attempts, version)
+        self.apply_limit(terms.max_attempts, version)
         self.priority = terms.priority
         self.stretch = terms.stretch
         self.target_s = terms.target_s
@@ -114,7 +114,7 @@
         self.requires_ticket = terms.advice is not None
         self.ticket_valid_s = terms.advice.valid_s if terms.advice else 0.0
 
-    def used_up(self, failures: int) -> bool:
+    def attempts_exhausted(self, failures: int) -> bool:
         """Return whether a number of failed runs of a task reaches the limit."""
         return self.max_attempts is not None and failures >= self.max_attempts
 
--- a/src/linkspan/shard/step_run.py
+++ b/src/linkspan/shard/step_run.py
@@ -41,7 +41,7 @@
         return gang_failures([task.failed for task in self.tasks])
 
     @property
-    def share_left(self) -> float:
+    def remaining_share(self) -> float:
         """Largest remaining share of work among its tasks, 0 to 1."""
         longest = 0.0
         for task in self.tasks:
@@ -51,17 +51,17 @@
                 # A waiting task has all of its work left. Most steps have one, and the first one
                 # found gives the result.
                 return 1.0
-            longest = max(longest, task.share_left)
+            longest = max(longest, task.remaining_share)
         return longest
 
     @property
-    def tasks_left(self) -> float:
+    def remaining_task_shares(self) -> float:
         """Sum of the remaining shares of its tasks, in tasks."""
         total = 0.0
         for task in self.tasks:
             if task.done:
                 continue
-            total += task.share_left if task.attempts else 1.0
+            total += task.remaining_share if task.attempts else 1.0
         return total
 
     @property
@@ -81,7 +81,7 @@
         return self.median_s if self.durations else self.spec.estimate_s
 
     @property
-    def all_at_work(self) -> bool:
+    def all_running(self) -> bool:
         """Whether every task of a standing step is serving, as far as this shard can know.
 
         Only then may the owner stop one of them, as each task that is not serving counts against
--- a/src/linkspan/shard/task.py
+++ b/src/linkspan/shard/task.py
@@ -94,7 +94,7 @@
         return self.crash_history is not None and self.crash_history.at_crash_limit
 
     @property
-    def on_record(self) -> bool:
+    def crash_history_durable(self) -> bool:
         """Whether the store holds its crash history.
 
         Until then, the next owner would not know that another start follows these crashes.
@@ -102,7 +102,7 @@
         return self.crash_history is None or self.step.run.durable >= self.crash_history.version
 
     @property
-    def share_left(self) -> float:
+    def remaining_share(self) -> float:
         """Remaining share of its work, 0 to 1, by the progress that its runs report.
 
         It is 1 without a run, because the progress of a checkpoint is unknown.
@@ -112,6 +112,6 @@
         return 1.0 - max((a.progress for a in self.attempts), default=0) / FULL_PROGRESS
 
     @property
-    def displaced(self) -> bool:
+    def has_run_before(self) -> bool:
         """Whether it may have run before, here or in another shard."""
         return self.next_run > 1 or self.delegation_number > 0
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -120,7 +120,7 @@
             store=store,
             partition=partition,
             writer=self._writer,
-            calls=ExecutorCalls(executors, core.outdated),
+            calls=ExecutorCalls(executors, core.token_outdated),
             machines=machines,
             job_registry=job_registry,
             executor_registry=executor_registry,
@@ -193,7 +193,7 @@
                 scope.spawn(self._records.begun_loop())
                 scope.spawn(self._records.prune_loop())
                 scope.spawn(self._handovers.rebalance_loop())
-                scope.spawn(self._watch.machines_loop())
+                scope.spawn(self._watch.poll_machines_loop())
                 scope.spawn(self._advisor.run())
                 scope.spawn(self._tick_loop())
         except* (Fenced, ProducerFenced, ProducerGap, TenureLost) as errors:
--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -32,7 +32,7 @@
 
 
 def _unused(_rooms: PlanRooms, executor: ExecutorState) -> float:
-    return NO_UNUSED_CPU if executor.disturbed else remaining_cpu(executor)
+    return NO_UNUSED_CPU if executor.over_latency_target else remaining_cpu(executor)
 
 
 def _play() -> tuple[int, str]:
--- a/tests/host/test_moves_without_end.py
+++ b/tests/host/test_moves_without_end.py
@@ -43,7 +43,7 @@
             started(core, order, now)
         for attempt in list(task.attempts):
             if attempt.stop_sent_at > 0:
-                core.close(attempt, now)
+                core.close_attempt(attempt, now)
         now += 0.1
     assert len(moved) == MOST_MOVES
 
--- a/tests/platform/test_odd_machines.py
+++ b/tests/platform/test_odd_machines.py
@@ -76,7 +76,7 @@
 def gone_after(*pages: object) -> set[str]:
     """Return who is taken for gone after two lists of the same pages."""
     watch = MachineWatch()
-    return set(watch.gone(read(*pages), KNOWN)) | set(watch.gone(read(*pages), KNOWN))
+    return set(watch.find_ended(read(*pages), KNOWN)) | set(watch.find_ended(read(*pages), KNOWN))
 
 
 @pytest.mark.parametrize("kind", ODD_BUT_FOR_ITS_ID)
@@ -141,9 +141,9 @@
 def test_an_odd_list_between_two_sound_ones_says_who_is_there_and_no_more() -> None:
     watch = MachineWatch()
     sound = read({"machines": [{**SOUND, "id": "e3"}]})
-    assert set(watch.gone(sound, KNOWN)) == set()
-    assert watch.missed == KNOWN
-    assert set(watch.gone(read({"machines": [OTHER, {}]}), KNOWN)) == set()
-    assert watch.missed == {"e1"}
-    assert set(watch.gone(sound, KNOWN)) == {"e1"}
-    assert set(watch.gone(sound, {"e2"})) == {"e2"}
+    assert set(watch.find_ended(sound, KNOWN)) == set()
+    assert watch.missing == KNOWN
+    assert set(watch.find_ended(read({"machines": [OTHER, {}]}), KNOWN)) == set()
+    assert watch.missing == {"e1"}
+    assert set(watch.find_ended(sound, KNOWN)) == {"e1"}
+    assert set(watch.find_ended(sound, {"e2"})) == {"e2"}
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -50,7 +50,7 @@
 
 def fall(core: ShardCore, name: str, silent: float, gone: float) -> None:
     core.on_silent(name, silent)
-    core.on_gone(name, gone, REPLACED)
+    core.on_incarnation_ended(name, gone, REPLACED)
 
 
 def known_of(core: ShardCore) -> CrashHistory:
@@ -146,7 +146,7 @@
         run_on(core, name, began, answered=False)
         fall(core, name, silent, gone)
         for attempt in list(only_task(core).attempts):
-            core.close(attempt, gone)
+            core.close_attempt(attempt, gone)
     run_on(core, "life-17@1", 62.76)
     fall(core, "life-17@1", 64.13, 65.28)
     core.tick(65.79)
--- a/tests/shard/test_colocation.py
+++ b/tests/shard/test_colocation.py
@@ -150,7 +150,7 @@
     (order,) = plan(core, 0.1)
     started(core, order, 0.2)
     executor = core.executors["e0"]
-    (serving,) = executor.standing()
+    (serving,) = executor.latency_targeted()
     for tick in range(12):
         figures(serving, 0.74)
         core.interference.learn(executor, tick * 0.5)
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -33,7 +33,7 @@
     first, second = plan(core, 1.0)
     started(core, first, 1.2)
     core.on_silent("e0", 3.0)
-    core.on_gone("e0", 4.0, "machine service no longer lists it")
+    core.on_incarnation_ended("e0", 4.0, "machine service no longer lists it")
     (line,) = lines
     assert line["fell_s"] == 1.0
     assert line["tasks"] == {
@@ -49,7 +49,7 @@
     plan(core, 1.0)
     drained = core.executors["e0"].record
     object.__setattr__(drained, "draining", True)
-    core.on_gone("e0", 4.0, "another incarnation answers")
+    core.on_incarnation_ended("e0", 4.0, "another incarnation answers")
     assert Event.EXECUTOR_GONE in lines
     assert Event.EXECUTOR_CRASHED not in lines
 
@@ -130,7 +130,7 @@
     core.on_silent("e0", 2.0)
     core.on_silent("e1", 2.0)
     for name in ("e0", "e1"):
-        core.on_gone(name, 3.0, "machine service no longer lists it")
+        core.on_incarnation_ended(name, 3.0, "machine service no longer lists it")
     assert task.crash_history == CrashHistory(1, 2, version=1)
 
 
@@ -147,7 +147,7 @@
     core.set_crash_history(task, CrashHistory(2, 5))
     core.on_silent("e0", 1.9)
     core.on_start_unanswered(order, 2.0)
-    core.on_gone("e0", 2.1, "another incarnation answers")
+    core.on_incarnation_ended("e0", 2.1, "another incarnation answers")
     assert core.finished == []
 
 
@@ -181,7 +181,7 @@
     core.set_crash_history(task, CrashHistory(3, 7))
     run = Attempt(task, task.next_run, "e0", Phase.DOUBT, 1.0)
     core.attach(core.executors["e0"], run)
-    core.on_gone("e0", 2.0, "another incarnation answers")
+    core.on_incarnation_ended("e0", 2.0, "another incarnation answers")
     core.tick(9.0)
     assert task.crash_history == CrashHistory(3, 7)
     assert core.finished == []
@@ -204,7 +204,7 @@
     report(core, executor_id, asked=began - 0.02, now=began - 0.01)
     place_task(core, task, executor_id, began=began)
     core.on_silent(executor_id, began + 0.01)
-    core.on_gone(executor_id, began + 0.1, "another incarnation answers")
+    core.on_incarnation_ended(executor_id, began + 0.1, "another incarnation answers")
 
 
 def test_a_task_does_not_start_between_the_crash_that_convicts_it_and_its_verdict() -> None:
@@ -232,7 +232,7 @@
         fall_under(core, task, name, at)
     assert task.crash_history and task.crash_history.should_give_up
     core.on_silent("e2", 20.05)
-    core.on_gone("e2", 20.2, "another incarnation answers")
+    core.on_incarnation_ended("e2", 20.2, "another incarnation answers")
     add_executor(core, "e3")
     core.tick(20.1 + GIVE_UP_DELAY_S)
     assert core.finished == []
--- a/tests/shard/test_crashes_on_record.py
+++ b/tests/shard/test_crashes_on_record.py
@@ -40,8 +40,8 @@
     first, second = heir.jobs[JOB].runs[0].tasks()
     assert first.crash_history == CrashHistory(3, 6), "and what is on record is known to be"
     assert second.crash_history == CrashHistory(1, 4)
-    assert set(heir.suspects) == {first, second}
-    assert first.on_record
+    assert set(heir.tasks_with_crash_history) == {first, second}
+    assert first.crash_history_durable
 
 
 def test_a_task_that_was_convicted_fails_its_job_at_the_next_owner() -> None:
--- a/tests/shard/test_crashes_that_were_none.py
+++ b/tests/shard/test_crashes_that_were_none.py
@@ -23,7 +23,7 @@
 def fall(core: ShardCore, name: str, silent: float, gone: float) -> None:
     """Let an executor go silent, and another one answer at its address."""
     core.on_silent(name, silent)
-    core.on_gone(name, gone, REPLACED)
+    core.on_incarnation_ended(name, gone, REPLACED)
 
 
 def empty(core: ShardCore, name: str, started_at_ms: int, *, asked: float, now: float) -> None:
@@ -73,7 +73,7 @@
     core.on_stopped(stop, True, 60.3)
     empty(core, "life-16@2", 2, asked=60.4, now=60.5)
     assert only_task(core).attempts == [unsure], "the next life may get it until 72.16"
-    core.on_gone("life-16@2", 60.6, REPLACED)
+    core.on_incarnation_ended("life-16@2", 60.6, REPLACED)
     assert only_task(core).attempts == [], "now there is none"
     start_on(core, "life-17@1", 62.77)
     core.on_silent("life-17@1", 64.13)
--- a/tests/shard/test_facts_that_owners_forget.py
+++ b/tests/shard/test_facts_that_owners_forget.py
@@ -33,7 +33,7 @@
     """Return the next owner, which reads what is on record."""
     heir = ShardCore(0, Bounds())
     heir.configure(configuration)
-    roster = encode_roster(e.on_roster for e in core.executors.values())
+    roster = encode_roster(e.roster_record for e in core.executors.values())
     heir.inherit(decode_roster(roster), 100.0)
     run = core.jobs[JOB].runs[0]
     specs = [s.spec for s in run.steps]
@@ -112,7 +112,7 @@
     task.next_run += 1
     core.attach(core.executors[executor_id], run)
     core.on_silent(executor_id, began + 0.01)
-    core.on_gone(executor_id, began + 0.1, REPLACED)
+    core.on_incarnation_ended(executor_id, began + 0.1, REPLACED)
 
 
 def test_a_next_owner_gives_no_task_up_before_its_verdict_is_due() -> None:
@@ -125,7 +125,7 @@
         _fall_under(core, name, at)
     core.on_silent("e2", 20.05)
     heir = heir_of(core, as_it_was())
-    core.on_gone("e2", 20.2, REPLACED)
+    core.on_incarnation_ended("e2", 20.2, REPLACED)
     core.tick(20.1 + GIVE_UP_DELAY_S)
     assert core.finished == [], "its former owner, alive, goes on"
     assert heir.finished == []
@@ -142,7 +142,7 @@
         report(core, name, asked=19.98, now=19.99)
     for name in ("e1", "e2"):
         core.on_silent(name, 20.01)
-        core.on_gone(name, 20.05, REPLACED)
+        core.on_incarnation_ended(name, 20.05, REPLACED)
     _fall_under(core, "e0", 20.0)
     core.tick(25.0)
     known = only_task(core).crash_history
--- a/tests/shard/test_lives.py
+++ b/tests/shard/test_lives.py
@@ -285,7 +285,7 @@
 
 
 def _gone(core: ShardCore, *, since: float, now: float) -> None:
-    core.on_gone(FIRST, now, "machine service no longer lists it", since=since)
+    core.on_incarnation_ended(FIRST, now, "machine service no longer lists it", since=since)
 
 
 def test_a_start_on_its_way_waits_for_the_next_life() -> None:
@@ -364,7 +364,7 @@
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 1.5)
     add_executor(core, "e1@5")
-    core.on_gone(FIRST, 2.5, "another incarnation answers")
+    core.on_incarnation_ended(FIRST, 2.5, "another incarnation answers")
     assert len(_replan(core, 2.6)) == 1
 
 
@@ -373,9 +373,9 @@
     watch = MachineWatch()
     there = (MachineRecord("m", "pool", MachineState.UP, "e0"),)
     away = (MachineRecord("m", "pool", MachineState.DOWN),)
-    assert watch.gone(there, {FIRST, SECOND}, asked=1.0) == {}
-    assert watch.gone(away, {FIRST}, asked=2.0) == {}
-    assert watch.gone(away, {FIRST, SECOND}, asked=3.0) == {FIRST: 2.0}
+    assert watch.find_ended(there, {FIRST, SECOND}, asked=1.0) == {}
+    assert watch.find_ended(away, {FIRST}, asked=2.0) == {}
+    assert watch.find_ended(away, {FIRST, SECOND}, asked=3.0) == {FIRST: 2.0}
 
 
 def test_a_clock_that_goes_back_within_a_life_is_a_silence() -> None:
@@ -468,8 +468,8 @@
     heir.add_job(submitted(step(1)), 3.0, inherited=True, begun=True, progress=progress)
     (task,) = heir.jobs[JOB].runs[0].tasks()
     assert len(task.attempts) == 1
-    heir.on_gone("e0", 3.5, "machine service no longer lists it", since=3.2)
+    heir.on_incarnation_ended("e0", 3.5, "machine service no longer lists it", since=3.2)
     assert len(task.attempts) == 1, "the start may still be on its way"
-    heir.on_gone("e0", 4.0, "another incarnation answers")
+    heir.on_incarnation_ended("e0", 4.0, "another incarnation answers")
     assert not task.attempts
     assert task.crash_history and task.crash_history.crash_count == 1
--- a/tests/shard/test_orders_not_sent_yet.py
+++ b/tests/shard/test_orders_not_sent_yet.py
@@ -56,7 +56,7 @@
             core=self.core,
             shard=0,
             settings=SimpleNamespace(bounds=Bounds(max_lease_s=LEASE_S)),
-            calls=ExecutorCalls(lambda _token: cast(Any, self), self.core.outdated),
+            calls=ExecutorCalls(lambda _token: cast(Any, self), self.core.token_outdated),
             metrics=SimpleNamespace(observe=_ignore, count=_ignore),
             writer=SimpleNamespace(healthy=True),
             scope=SimpleNamespace(spawn=self.waiting.append),
--- a/tests/shard/test_starts_of_former_owners.py
+++ b/tests/shard/test_starts_of_former_owners.py
@@ -72,7 +72,7 @@
     """Return the core of a next owner, from the records of one."""
     heir = core_with(executors=0)
     heir.jobs.clear()
-    roster = encode_roster(e.on_roster for e in core.executors.values())
+    roster = encode_roster(e.roster_record for e in core.executors.values())
     heir.inherit(decode_roster(roster), 20.0)
     for job_id, job in core.jobs.items():
         progress = {0: encode_run(job.runs[0])}
@@ -301,7 +301,7 @@
     _holds(core)
     heir = _heir(core)
     _report(heir, asked=3.1)
-    assert heir.executors[FIRST].on_roster.withheld_ends == ()
+    assert heir.executors[FIRST].roster_record.withheld_ends == ()
 
 
 def test_ends_of_the_next_life_are_not_held_for_the_one_before() -> None:
@@ -318,7 +318,7 @@
     changes.roster = frozenset(core.executors)
     _holds(core)
     assert changes.roster_changed()
-    roster = encode_roster(e.on_roster for e in core.executors.values())
+    roster = encode_roster(e.roster_record for e in core.executors.values())
     (row,) = orjson.loads(roster)
     assert row[7:] == [1_000, [1]]
     (record,) = decode_roster(roster)
--- a/tests/shard/test_tokens.py
+++ b/tests/shard/test_tokens.py
@@ -45,7 +45,7 @@
     core.tokens.allow(5)
     add_executor(core, FIRST)
     token = core.executors[FIRST].token
-    core.on_gone(FIRST, 1.0, "machine service no longer lists it", since=0.5)
+    core.on_incarnation_ended(FIRST, 1.0, "machine service no longer lists it", since=0.5)
     add_executor(core, SECOND)
     assert core.executors[SECOND].token > token
 
@@ -86,7 +86,7 @@
     core.tokens.allow(5)
     add_executor(core, FIRST)
     add_executor(core, SECOND)
-    calls = ExecutorCalls(lambda token: cast(Any, token), core.outdated)
+    calls = ExecutorCalls(lambda token: cast(Any, token), core.token_outdated)
     with pytest.raises(Unreachable), calls.to(core.executors[FIRST]):
         raise Fenced("the next life was told a higher token")
     with pytest.raises(Fenced), calls.to(core.executors[SECOND]):
@@ -100,7 +100,7 @@
     add_executor(core, "e1@1000")
     add_executor(core, FIRST)
     add_executor(core, SECOND)
-    calls = ExecutorCalls(lambda token: cast(Any, token), core.outdated)
+    calls = ExecutorCalls(lambda token: cast(Any, token), core.token_outdated)
     with pytest.raises(Fenced), calls.to(core.executors["e1@1000"]):
         raise Fenced("a newer owner is at work")
 
--- a/tests/shard/test_work_left.py
+++ b/tests/shard/test_work_left.py
@@ -36,8 +36,8 @@
 def test_what_is_left_of_a_step_is_that_of_its_tasks(parts: list[int | None]) -> None:
     run = run_with(parts)
     left = [0.0 if p == -1 else 1.0 - (p or 0) / FULL_PROGRESS for p in parts]
-    assert run.steps[0].share_left == max(left)
-    assert abs(run.steps[0].tasks_left - sum(left)) < 1e-9
+    assert run.steps[0].remaining_share == max(left)
+    assert abs(run.steps[0].remaining_task_shares - sum(left)) < 1e-9
     lengths = run.job.expected_durations_s
     open_work = sum(left) * 2_000 * lengths[0] if run.steps[0].remaining_tasks else 0.0
-    assert abs(run.work_left - open_work - 3 * 1_000 * lengths[1]) < 1e-6
+    assert abs(run.remaining_work - open_work - 3 * 1_000 * lengths[1]) < 1e-6
