--- a/src/linkspan/shard/_shard_state.py
+++ b/src/linkspan/shard/_shard_state.py
@@ -252,7 +252,7 @@
         """Remove an attempt from its task and its executor."""
         if attempt in attempt.task.attempts:
             attempt.task.attempts.remove(attempt)
-        self.interference.forget(attempt)
+        self.interference.remove_load(attempt)
         executor = self.executors.get(attempt.executor_id)
         if executor:
             executor.remove(attempt)
--- a/src/linkspan/shard/colocation/_plan_rooms.py
+++ b/src/linkspan/shard/colocation/_best_effort_capacity.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from linkspan.shard.colocation._pressure_room import PressureRoom
+from linkspan.shard.colocation._pressure_budget import PressureBudget
 from linkspan.shard.planning.urgency import Timeliness, timeliness_of
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 """Unused cores of an executor where a standing task is over its latency target."""
 
 
-class PlanRooms:
+class BestEffortCapacity:
     """Caches how much best-effort work the executors can take during one plan.
 
     Best-effort work of lower timeliness is not counted, as it gives way to work of higher
@@ -36,21 +36,21 @@
         self._interference = interference
         self._now = now
         self._wall = wall
-        self._pressure_rooms: dict[tuple[str, Timeliness], PressureRoom] = {}
+        self._pressure_budgets: dict[tuple[str, Timeliness], PressureBudget] = {}
         self._timeliness: dict[StepRun, Timeliness] = {}
         self._unused: dict[str, float] = {}
 
     def __repr__(self) -> str:
-        return f"PlanRooms({len(self._pressure_rooms)})"
+        return f"BestEffortCapacity({len(self._pressure_budgets)})"
 
     def share(self, executor: ExecutorState, step: StepRun) -> float:
         """Return the share of full speed at which an executor can run one more task of a step."""
-        return self._pressure_room(executor, step).share(step.spec)
+        return self._pressure_budget(executor, step).share(step.spec)
 
     def changed(self, executor: ExecutorState) -> None:
         """Discard cached values of an executor after a placement there was made or undone."""
         for timeliness in Timeliness:
-            self._pressure_rooms.pop((executor.executor_id, timeliness), None)
+            self._pressure_budgets.pop((executor.executor_id, timeliness), None)
         self._unused.pop(executor.executor_id, None)
 
     def unused_cpu(self, executor: ExecutorState) -> float:
@@ -65,19 +65,19 @@
             self._unused[executor.record.executor_id] = unused
         return unused
 
-    def _pressure_room(self, executor: ExecutorState, step: StepRun) -> PressureRoom:
+    def _pressure_budget(self, executor: ExecutorState, step: StepRun) -> PressureBudget:
         """Return the pressure that standing tasks there still tolerate from a step's tasks."""
         timeliness = self.timeliness(step)
         key = executor.executor_id, timeliness
-        room = self._pressure_rooms.get(key)
-        if room is None:
+        budget = self._pressure_budgets.get(key)
+        if budget is None:
             best_effort = (
                 a for a in executor.all_best_effort() if self.timeliness(a.task.step) <= timeliness
             )
-            room = self._pressure_rooms[key] = PressureRoom(
+            budget = self._pressure_budgets[key] = PressureBudget(
                 executor, self._interference, self._now, best_effort
             )
-        return room
+        return budget
 
     def timeliness(self, step: StepRun) -> Timeliness:
         """Return a step's timeliness, which no placement of a plan changes."""
--- a/src/linkspan/shard/colocation/_effect_selector.py
+++ b/src/linkspan/shard/colocation/_effect_selector.py
@@ -30,7 +30,7 @@
         self._published: dict[Pair, PairEffect] = {}
 
     def __repr__(self) -> str:
-        return f"EffectSelector({len(self._published)} told)"
+        return f"EffectSelector({len(self._published)} published)"
 
     def select(self, effects: Iterable[PairEffect]) -> tuple[PairEffect, ...]:
         """Return the effects to publish now, and mark them as published.
--- a/src/linkspan/shard/colocation/_pressure_room.py
+++ b/src/linkspan/shard/colocation/_pressure_budget.py
@@ -28,7 +28,7 @@
 measurement."""
 
 
-class PressureRoom:
+class PressureBudget:
     """Pressure that the standing tasks of one executor still tolerate from best-effort tasks.
 
     Args:
@@ -59,7 +59,7 @@
             self.add(attempt.task.step.spec, attempt.pace / 100)
 
     def __repr__(self) -> str:
-        return f"PressureRoom({self._executor.executor_id!r}, {self._remaining})"
+        return f"PressureBudget({self._executor.executor_id!r}, {self._remaining})"
 
     @property
     def is_exceeded(self) -> bool:
--- a/src/linkspan/shard/colocation/_trend.py
+++ b/src/linkspan/shard/colocation/_trend.py
@@ -26,14 +26,14 @@
         at: Time of the initial estimate, in seconds.
     """
 
-    __slots__ = ("_at", "_cross", "_level", "_slope", "_slope_variance", "_variance")
+    __slots__ = ("_at", "_covariance", "_level", "_slope", "_slope_variance", "_variance")
 
     def __init__(self, level: float, variance: float, at: float) -> None:
         self._level = level
         self._slope = 0.0
         self._variance = variance
         self._slope_variance = INITIAL_SLOPE_VARIANCE
-        self._cross = 0.0
+        self._covariance = 0.0
         self._at = at
 
     def __repr__(self) -> str:
@@ -65,9 +65,9 @@
             return
         ahead_s = min(step_s, MAX_EXTRAPOLATION_S)
         self._level = max(self._level + self._slope * ahead_s, 0.0)
-        self._variance += 2 * ahead_s * self._cross + ahead_s * ahead_s * self._slope_variance
+        self._variance += 2 * ahead_s * self._covariance + ahead_s * ahead_s * self._slope_variance
         self._variance += LEVEL_DRIFT_PER_S * step_s
-        self._cross += ahead_s * self._slope_variance
+        self._covariance += ahead_s * self._slope_variance
         self._slope_variance += SLOPE_DRIFT_PER_S * step_s
         self._at = time_s
 
@@ -79,9 +79,9 @@
             total_variance: Variance of that error.
         """
         gain = self._variance / total_variance
-        slope_gain = self._cross / total_variance
+        slope_gain = self._covariance / total_variance
         self._level = max(self._level + gain * error, 0.0)
         self._slope += slope_gain * error
-        self._slope_variance -= slope_gain * self._cross
-        self._cross *= 1.0 - gain
+        self._slope_variance -= slope_gain * self._covariance
+        self._covariance *= 1.0 - gain
         self._variance *= 1.0 - gain
--- a/src/linkspan/shard/colocation/interference.py
+++ b/src/linkspan/shard/colocation/interference.py
@@ -189,7 +189,7 @@
                     published.mean, variance, now
                 )
 
-    def forget(self, attempt: Attempt) -> None:
+    def remove_load(self, attempt: Attempt) -> None:
         """Remove the load of a step that has no attempts left."""
         if not any(task.attempts for task in attempt.task.step.tasks):
             self._loads.pop(attempt.task.step, None)
--- a/src/linkspan/shard/colocation/pacing.py
+++ b/src/linkspan/shard/colocation/pacing.py
@@ -6,7 +6,7 @@
 
 from linkspan.events import Event
 from linkspan.shard.attempt import FULL_PACE
-from linkspan.shard.colocation._pressure_room import MAX_KEPT_PACE_PRESSURE, PressureRoom
+from linkspan.shard.colocation._pressure_budget import MAX_KEPT_PACE_PRESSURE, PressureBudget
 from linkspan.shard.colocation.interference import latency_ratio
 from linkspan.shard.planning.urgency import urgency
 
@@ -76,7 +76,7 @@
         if not best_effort or now - last < MEASUREMENT_PERIOD_S:
             return
         by_urgency = sorted(best_effort, key=lambda a: urgency(a.task.step, wall))
-        present = PressureRoom(
+        present = PressureBudget(
             executor, self._interference, now, best_effort, limit=MAX_KEPT_PACE_PRESSURE
         )
         if present.is_exceeded or any(a.over_target_since is not None for a in standing):
@@ -113,7 +113,7 @@
         """Reallocate the pressure that the standing tasks tolerate, the most urgent task first."""
         worst = max(standing, key=lambda a: latency_ratio(a) or 0.0, default=None)
         factor = _over_target_factor(standing, now)
-        remaining = PressureRoom(executor, self._interference, now)
+        remaining = PressureBudget(executor, self._interference, now)
         for attempt in by_urgency:
             spec = attempt.task.step.spec
             share = remaining.share(spec)
@@ -124,7 +124,7 @@
 
     def _raise_paces(self, executor: ExecutorState, by_urgency: list[Attempt], now: float) -> None:
         """Allocate the pressure left over at the current paces, the most urgent task first."""
-        remaining = PressureRoom(executor, self._interference, now, by_urgency)
+        remaining = PressureBudget(executor, self._interference, now, by_urgency)
         for attempt in by_urgency:
             if attempt.pace >= FULL_PACE and attempt.pace_confirmed:
                 continue
--- a/src/linkspan/shard/handover/_delegations.py
+++ b/src/linkspan/shard/handover/_delegations.py
@@ -102,7 +102,7 @@
             self._state.dropped.append(key_of(run))
             for step in run.steps:
                 self._state.ready.pop(step, None)
-                self._state.advice.forget(step)
+                self._state.advice.remove_step(step)
 
 
 def _returned_crash_history(task: Task, delegation: Delegation) -> CrashHistory | None:
--- a/src/linkspan/shard/handover/_handovers.py
+++ b/src/linkspan/shard/handover/_handovers.py
@@ -79,7 +79,7 @@
             key = RunKey(job_id, 0).encode()
             offset = await self._writer.write([Record(encode_moved(shard), key)])
             self._log_move(Event.MOVE_KEPT, job_id, shard, offset)
-            await self.tell_moved(job_id, shard)
+            await self.publish_move(job_id, shard)
             return
         job = self._core.jobs.get(job_id)
         run = self._core.hand_over_tasks(job_id, shard, tasks)
@@ -104,7 +104,7 @@
             job_id, self._shard, self._returned_delegations.add(job_id, before, delegations)
         )
 
-    async def tell_moved(self, job_id: str, shard: int) -> None:
+    async def publish_move(self, job_id: str, shard: int) -> None:
         """Publish that a job now belongs to another shard, and remove the job here."""
         offset = await self._job_registry.write([Moved(job_id, shard)])
         self._log_move(Event.MOVE_TOLD, job_id, shard, offset)
@@ -134,4 +134,4 @@
 
     def _count_capable(self, shard: int, step: StepSpec, service: str) -> int:
         summary = self._summary_of(shard)
-        return summary.able(step, service) if summary else 0
+        return summary.count_capable(step, service) if summary else 0
--- a/src/linkspan/shard/handover/rebalance.py
+++ b/src/linkspan/shard/handover/rebalance.py
@@ -177,14 +177,14 @@
             hall = halls[shard]
             if not self._count_capable(shard, spec, job.service):
                 continue
-            executor_cpu = hall.capacity / max(len(hall.rooms), 1)
+            executor_cpu = hall.capacity / max(len(hall.free_by_executor), 1)
             headroom = 0.0 if pending[0].has_run_before else STANDING_HEADROOM * executor_cpu
             slots = hall.slots(spec.demand, headroom=headroom)
             if slots < 1:
                 continue
             delegated = pending[:slots]
             # At most one handover to a hall until the hall publishes its next summary.
-            halls[shard] = replace(hall, free=0, rooms=())
+            halls[shard] = replace(hall, free=0, free_by_executor=())
             tasks = tuple((step.index, task.name.index) for task in delegated)
             return Handover(job.job_id, shard, tasks)
         return None
--- a/src/linkspan/shard/handover/summary.py
+++ b/src/linkspan/shard/handover/summary.py
@@ -54,7 +54,7 @@
         standing: Thousandths of a core held by standing tasks, by image.
         effects: Learnt effects: in a record those published with it, in a host's view all known
             ones.
-        rooms: Free thousandths of a core and free megabytes of each executor.
+        free_by_executor: Free thousandths of a core and free megabytes of each executor.
         kinds: Kinds of its executors, including those that take no new work at present, but without
             those that leave; ``None`` if not published.
         former_capacities: Service and former size of executors with reduced capacity, which comes
@@ -68,11 +68,11 @@
     queued: int = 0
     standing: dict[str, int] = field(default_factory=dict)
     effects: tuple[PairEffect, ...] = ()
-    rooms: tuple[tuple[int, int], ...] = ()
+    free_by_executor: tuple[tuple[int, int], ...] = ()
     kinds: tuple[ExecutorKind, ...] | None = None
     former_capacities: tuple[tuple[str, Demand], ...] = ()
 
-    def able(self, step: StepSpec, service: str) -> int:
+    def count_capable(self, step: StepSpec, service: str) -> int:
         """Return how many executors could run a task of a step if they were empty."""
         kinds = self.kinds or ()
         return sum(k.count for k in kinds if k.service == service and can_run(step, k))
@@ -87,7 +87,7 @@
         cpu, memory = max(demand.milli_cpu, 1), max(demand.memory_mb, 1)
         return sum(
             max(min(int(free_cpu - headroom) // cpu, free_memory // memory), 0)
-            for free_cpu, free_memory in self.rooms
+            for free_cpu, free_memory in self.free_by_executor
         )
 
     def encode(self) -> list[object]:
@@ -99,7 +99,7 @@
             self.waiting,
             self.standing,
             [[e.standing, e.image, round(e.mean, 4), round(e.variance, 6)] for e in self.effects],
-            self.rooms,
+            self.free_by_executor,
             self.queued,
             None if self.kinds is None else [_kind_row(kind) for kind in self.kinds],
             [[service, _size_row(size)] for service, size in self.former_capacities],
@@ -114,7 +114,9 @@
         """
         try:
             # Hosts of other versions publish fewer fields, or append more.
-            capacity, free, best_effort, waiting, standing, effects, rooms, *rest = fields
+            capacity, free, best_effort, waiting, standing, effects, free_by_executor, *rest = (
+                fields
+            )
             queued = rest[0] if rest else 0
             kinds = rest[1] if len(rest) > 1 else None
             former_capacities = rest[2] if len(rest) > 2 else ()
@@ -129,7 +131,7 @@
                     for image, held in parse_object(standing).items()
                 },
                 tuple(_effect(parse_list(row)) for row in parse_list(effects)),
-                tuple(_room(parse_list(row)) for row in parse_list(rooms)),
+                tuple(_room(parse_list(row)) for row in parse_list(free_by_executor)),
                 None
                 if kinds is None
                 else tuple(_kind(parse_list(row)) for row in parse_list(kinds)),
@@ -199,7 +201,7 @@
         waiting=_pending_cpu(core, best_effort=True),
         queued=_pending_cpu(core, best_effort=False),
         standing=standing,
-        rooms=tuple((e.free_cpu, e.free_memory) for e in usable),
+        free_by_executor=tuple((e.free_cpu, e.free_memory) for e in usable),
         kinds=group_by_kind(
             e.record for e in core.executors.values() if e.listed and e.record.takes_new_work
         ),
--- a/src/linkspan/shard/machines.py
+++ b/src/linkspan/shard/machines.py
@@ -84,7 +84,7 @@
         self._missing_since: dict[str, float] = {}
 
     def __repr__(self) -> str:
-        return f"MachineWatch({len(self._missing_since)} missed)"
+        return f"MachineWatch({len(self._missing_since)} missing)"
 
     @property
     def missing(self) -> frozenset[str]:
--- a/src/linkspan/shard/orders/_dispatch.py
+++ b/src/linkspan/shard/orders/_dispatch.py
@@ -37,7 +37,7 @@
 """Limits how long a start waits for its record: a slow store answers in 0.4 s, and another append
 may be in progress. A start of a task with a crash history waits without a limit."""
 
-MAX_AWAY_WAIT_S = 0.3
+MAX_RECORD_WAIT_IN_OUTAGE_S = 0.3
 """The same limit while the store refuses or does not answer: work continues during a store
 outage."""
 
@@ -183,7 +183,7 @@
                     await self._changes.next_stored()
 
     def _max_record_wait_s(self) -> float:
-        return MAX_RECORD_WAIT_S if self._writer.healthy else MAX_AWAY_WAIT_S
+        return MAX_RECORD_WAIT_S if self._writer.healthy else MAX_RECORD_WAIT_IN_OUTAGE_S
 
     def _may_still_start(self, run: JobRun) -> bool:
         """Whether a repetition's starts may still be sent and their record written."""
--- a/src/linkspan/shard/planning/_advisor.py
+++ b/src/linkspan/shard/planning/_advice_requester.py
@@ -8,7 +8,7 @@
 from linkspan.clock import steady
 from linkspan.errors import Unreachable
 from linkspan.events import Event
-from linkspan.shard.planning.advice import RETRY_S
+from linkspan.shard.planning.advice import ADVICE_RETRY_S
 
 if TYPE_CHECKING:
     from linkspan.shard._context import TenureContext
@@ -58,7 +58,7 @@
         except Unreachable as error:
             self._core.advice.on_failed(call, steady())
             self._log.write(Event.ADVICE_MISSING, job=job.job_id, error=str(error))
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(ADVICE_RETRY_S)
             return
         duration_s = steady() - sent_at
         self._metrics.observe("advice", duration_s)
--- a/src/linkspan/shard/planning/_expected_durations.py
+++ b/src/linkspan/shard/planning/_expected_durations.py
@@ -9,7 +9,7 @@
     from linkspan.shard.shard_job import ShardJob
     from linkspan.shard.step_run import StepRun
 
-REFRESH_EVERY = 8
+UPDATE_INTERVAL_STEPS = 8
 """Number of ended steps after which the expected durations of all jobs are updated: fewer steps
 change a fit only a little."""
 
--- a/src/linkspan/shard/planning/_free_room.py
+++ b/src/linkspan/shard/planning/_free_capacity.py
@@ -5,13 +5,13 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU
+from linkspan.shard.colocation._best_effort_capacity import NO_UNUSED_CPU
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from linkspan.jobs.spec import Demand
-    from linkspan.shard.colocation._plan_rooms import PlanRooms
+    from linkspan.shard.colocation._best_effort_capacity import BestEffortCapacity
     from linkspan.shard.executor import ExecutorState
 
 ANY_MILLI_CPU = math.nextafter(NO_UNUSED_CPU, 0.0)
@@ -32,7 +32,7 @@
     best_effort: bool
 
 
-class FreeRoom:
+class FreeCapacity:
     """Caches the free capacity of the executors of a plan, updated after each placement.
 
     A fully loaded hall has many steps, each a little different, whose tasks fit nowhere. Comparing
@@ -40,18 +40,22 @@
 
     Args:
         executors: Executors that may get new work, in order.
-        rooms: Pressure that standing tasks tolerate from best-effort ones.
+        best_effort_capacity: Pressure that standing tasks tolerate from best-effort ones.
     """
 
-    def __init__(self, executors: Iterable[ExecutorState], rooms: PlanRooms) -> None:
+    def __init__(
+        self, executors: Iterable[ExecutorState], best_effort_capacity: BestEffortCapacity
+    ) -> None:
         self._executors = {e.record.executor_id: e for e in executors}
-        self._rooms = rooms
+        self._best_effort_capacity = best_effort_capacity
         self._groups: dict[ExecutorGroup, dict[str, tuple[ExecutorState, int, int, float]]] = {}
 
     def __repr__(self) -> str:
-        return f"FreeRoom({len(self._executors)} executors, {len(self._groups)} groups)"
+        return f"FreeCapacity({len(self._executors)} executors, {len(self._groups)} groups)"
 
-    def enough(self, group: ExecutorGroup, demand: Demand, milli_cpu: float) -> list[ExecutorState]:
+    def with_capacity(
+        self, group: ExecutorGroup, demand: Demand, milli_cpu: float
+    ) -> list[ExecutorState]:
         """Return the executors of a group that have enough memory, accelerators and cores.
 
         Args:
@@ -94,5 +98,9 @@
     def _row(
         self, executor: ExecutorState, group: ExecutorGroup
     ) -> tuple[ExecutorState, int, int, float]:
-        free_cpu = self._rooms.unused_cpu(executor) if group.best_effort else executor.free_cpu
+        free_cpu = (
+            self._best_effort_capacity.unused_cpu(executor)
+            if group.best_effort
+            else executor.free_cpu
+        )
         return executor, executor.free_memory, executor.free_gpus, free_cpu
--- a/src/linkspan/shard/planning/_plan_view.py
+++ b/src/linkspan/shard/planning/_plan_view.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from linkspan.shard.planning._blocked import held_cores
-from linkspan.shard.planning._free_room import FreeRoom
+from linkspan.shard.planning._free_capacity import FreeCapacity
 from linkspan.shard.planning._isolation import IsolatedPlacement
 from linkspan.shard.planning._step_scores import StepScores
 from linkspan.shard.planning.placement import StepPlacement
 
 if TYPE_CHECKING:
-    from linkspan.shard.colocation._plan_rooms import PlanRooms
+    from linkspan.shard.colocation._best_effort_capacity import BestEffortCapacity
     from linkspan.shard.core import ShardCore
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.planning.placement import TaskKind
@@ -25,15 +25,15 @@
 
     Attributes:
         core: The shard's state.
-        rooms: Pressure that standing tasks tolerate from best-effort ones.
+        best_effort_capacity: Pressure that standing tasks tolerate from best-effort ones.
         now: Steady time of the plan.
     """
 
     core: ShardCore
-    rooms: PlanRooms
+    best_effort_capacity: BestEffortCapacity
     now: float
     _usable: list[ExecutorState] | None = None
-    _free_capacity: FreeRoom | None = None
+    _free_capacity: FreeCapacity | None = None
     _unplaceable: set[TaskKind] = field(default_factory=set)
 
     def usable(self) -> list[ExecutorState]:
@@ -54,14 +54,14 @@
             self.usable().remove(executor)
         self.free_capacity().remove(executor)
 
-    def free_capacity(self) -> FreeRoom:
+    def free_capacity(self) -> FreeCapacity:
         """Return the free capacity of the executors that may get new work.
 
         Only placements that choose among all usable executors update it. It is therefore created
         after the plan's moves, which place nothing, and is not used by the plan's copies.
         """
         if self._free_capacity is None:
-            self._free_capacity = FreeRoom(self.usable(), self.rooms)
+            self._free_capacity = FreeCapacity(self.usable(), self.best_effort_capacity)
         return self._free_capacity
 
     def isolated_placement(self) -> IsolatedPlacement:
@@ -77,15 +77,17 @@
     ) -> StepPlacement:
         """Return a step's placement among the given executors, or among all usable ones."""
         core = self.core
-        scores = StepScores(step, core.health, core.interference, self.rooms, self.now)
+        scores = StepScores(
+            step, core.health, core.interference, self.best_effort_capacity, self.now
+        )
         if executors is None:
             return StepPlacement(
                 step,
                 self.usable(),
                 scores,
-                self.rooms,
+                self.best_effort_capacity,
                 self.now,
                 self._unplaceable,
                 self.free_capacity(),
             )
-        return StepPlacement(step, executors, scores, self.rooms, self.now)
+        return StepPlacement(step, executors, scores, self.best_effort_capacity, self.now)
--- a/src/linkspan/shard/planning/_step_scores.py
+++ b/src/linkspan/shard/planning/_step_scores.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from linkspan.shard.colocation._plan_rooms import PlanRooms
+    from linkspan.shard.colocation._best_effort_capacity import BestEffortCapacity
     from linkspan.shard.colocation.interference import InterferenceEstimator
     from linkspan.shard.executor import ExecutorState
     from linkspan.shard.reports.health import ExecutorHealth
@@ -59,14 +59,14 @@
         step: The step.
         health: Health of the executors.
         interference: Estimated interference between pairs of images.
-        rooms: Pressure that standing tasks tolerate from best-effort ones.
+        best_effort_capacity: Pressure that standing tasks tolerate from best-effort ones.
         now: Steady time.
     """
 
     step: StepRun
     health: ExecutorHealth
     interference: InterferenceEstimator
-    rooms: PlanRooms
+    best_effort_capacity: BestEffortCapacity
     now: float
 
     def score(self, executor: ExecutorState, *, placed: int) -> float:
@@ -91,7 +91,9 @@
         if spec.best_effort:
             added = self.interference.worst_added(executor, spec.image, spec.demand.milli_cpu)
             score += INTERFERENCE_WEIGHT * added
-            score += REDUCED_PACE_WEIGHT * (1.0 - self.rooms.share(executor, self.step))
+            score += REDUCED_PACE_WEIGHT * (
+                1.0 - self.best_effort_capacity.share(executor, self.step)
+            )
         return score
 
     def _colocation_score(self, executor: ExecutorState, capacity: int) -> float:
--- a/src/linkspan/shard/planning/advice.py
+++ b/src/linkspan/shard/planning/advice.py
@@ -22,7 +22,7 @@
 MIN_REMAINING_VALIDITY_S = 0.3
 """Minimum of remaining validity with which a ticket is used: a start takes tens of milliseconds."""
 
-RETRY_S = 0.2
+ADVICE_RETRY_S = 0.2
 """Delay after a call that was refused or not answered. The service processes one call of a host at
 a time, so an immediate second call would only wait."""
 
@@ -146,11 +146,11 @@
 
     def on_failed(self, call: AdviceCall, now: float) -> None:
         """Handle a call that was refused or not answered: other steps come first after a delay."""
-        self._not_before = now + RETRY_S
+        self._not_before = now + ADVICE_RETRY_S
         known = self._steps.pop(call.step, None)
         if known:
             self._steps[call.step] = known
 
-    def forget(self, step: StepRun) -> None:
+    def remove_step(self, step: StepRun) -> None:
         """Remove a step that this shard no longer manages."""
         self._steps.pop(step, None)
--- a/src/linkspan/shard/planning/placement.py
+++ b/src/linkspan/shard/planning/placement.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from linkspan.shard.attempt import FULL_PACE
-from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU
+from linkspan.shard.colocation._best_effort_capacity import NO_UNUSED_CPU
 from linkspan.shard.colocation.pacing import MIN_PACE_PERCENT
-from linkspan.shard.planning._free_room import ANY_MILLI_CPU, ExecutorGroup
+from linkspan.shard.planning._free_capacity import ANY_MILLI_CPU, ExecutorGroup
 
 if TYPE_CHECKING:
     from linkspan.jobs.spec import Demand
-    from linkspan.shard.colocation._plan_rooms import PlanRooms
+    from linkspan.shard.colocation._best_effort_capacity import BestEffortCapacity
     from linkspan.shard.executor import ExecutorState
-    from linkspan.shard.planning._free_room import FreeRoom
+    from linkspan.shard.planning._free_capacity import FreeCapacity
     from linkspan.shard.planning._step_scores import StepScores
     from linkspan.shard.planning.urgency import Timeliness
     from linkspan.shard.step_run import StepRun
@@ -77,7 +77,7 @@
         step: The step.
         executors: Executors that may get new work.
         scores: Scores of the executors for the step.
-        rooms: Pressure that standing tasks tolerate from best-effort ones.
+        best_effort_capacity: Pressure that standing tasks tolerate from best-effort ones.
         now: Steady time.
         unplaceable: Kinds of tasks that no usable executor has capacity for; ``None`` if
             ``executors`` are only some of the usable ones.
@@ -88,10 +88,10 @@
     step: StepRun
     executors: list[ExecutorState]
     scores: StepScores
-    rooms: PlanRooms
+    best_effort_capacity: BestEffortCapacity
     now: float
     unplaceable: set[TaskKind] | None = None
-    free_capacity: FreeRoom | None = None
+    free_capacity: FreeCapacity | None = None
     _on_executor: Counter[str] = field(default_factory=Counter)
     _scores: dict[tuple[bool, bool], dict[str, float]] = field(default_factory=dict)
 
@@ -148,7 +148,7 @@
         if spec.best_effort:
             milli_cpu = ANY_MILLI_CPU if starved else milli_cpu * MIN_BEST_EFFORT_SHARE
         group = ExecutorGroup(job.service, spec.label, spec.best_effort)
-        return self.free_capacity.enough(group, spec.demand, milli_cpu)
+        return self.free_capacity.with_capacity(group, spec.demand, milli_cpu)
 
     def clear_avoided(self, task: Task) -> bool:
         """Clear the executors that a task avoids if no other had capacity for a while.
@@ -183,7 +183,11 @@
         spec = self.step.spec
         if spec.gang or spec.max_per_executor or self.step.run.job.requires_ticket:
             return None
-        best_effort = (spec.image, self.rooms.timeliness(self.step)) if spec.best_effort else None
+        best_effort = (
+            (spec.image, self.best_effort_capacity.timeliness(self.step))
+            if spec.best_effort
+            else None
+        )
         service = self.step.run.job.service
         return TaskKind(
             service, spec.label, spec.demand, spec.standing, best_effort, use_headroom, starved
@@ -201,7 +205,7 @@
         self._update(executor)
 
     def _update(self, executor: ExecutorState) -> None:
-        self.rooms.changed(executor)
+        self.best_effort_capacity.changed(executor)
         if self.free_capacity is not None:
             self.free_capacity.update(executor)
         for scores in self._scores.values():
@@ -216,7 +220,7 @@
         """Return the pace in percent at which a task of the step starts on an executor."""
         if not self.step.spec.best_effort:
             return FULL_PACE
-        share = self.rooms.share(executor, self.step)
+        share = self.best_effort_capacity.share(executor, self.step)
         return int(100 * share) if share >= MIN_PACE_PERCENT / 100 else 0
 
     def reason_against(
@@ -255,7 +259,7 @@
 
     def _reason_against_best_effort(self, executor: ExecutorState, *, starved: bool) -> str | None:
         """Return why an executor cannot take one more best-effort task; ``None`` if it can."""
-        unused = self.rooms.unused_cpu(executor)
+        unused = self.best_effort_capacity.unused_cpu(executor)
         if unused == NO_UNUSED_CPU:
             return "latency over target"
         if starved:
@@ -263,4 +267,8 @@
         spec = self.step.spec
         if unused < spec.demand.milli_cpu * MIN_BEST_EFFORT_SHARE:
             return "unused cores"
-        return None if self.rooms.share(executor, self.step) >= MIN_START_SHARE else "pressure"
+        return (
+            None
+            if self.best_effort_capacity.share(executor, self.step) >= MIN_START_SHARE
+            else "pressure"
+        )
--- a/src/linkspan/shard/planning/planner.py
+++ b/src/linkspan/shard/planning/planner.py
@@ -7,7 +7,7 @@
 from linkspan.events import Event
 from linkspan.shard._reasons import start_reason
 from linkspan.shard.attempt import FULL_PACE
-from linkspan.shard.colocation._plan_rooms import PlanRooms
+from linkspan.shard.colocation._best_effort_capacity import BestEffortCapacity
 from linkspan.shard.planning._blocked import blocked_fields
 from linkspan.shard.planning._moves import Moves
 from linkspan.shard.planning._plan_view import PlanView
@@ -50,7 +50,7 @@
             wall: Time of day, in seconds since 1970, for due times and urgency.
         """
         core = self._core
-        view = PlanView(core, PlanRooms(core.interference, now, wall), now)
+        view = PlanView(core, BestEffortCapacity(core.interference, now, wall), now)
         core.release_due(wall, now)
         core.remove_finished_tasks()
         Moves(view).add_orders()
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -186,7 +186,7 @@
         if entry.shard == self._shard:
             # Until all hosts know of the move, updates of the job must not add it here again.
             self._core.remove_moved(job_id)
-            self._scope.spawn(self._handovers.tell_moved(job_id, shard))
+            self._scope.spawn(self._handovers.publish_move(job_id, shard))
         else:
             self._core.drop_progress(job_id, runs)
         return True
--- a/src/linkspan/shard/reports/_crashes.py
+++ b/src/linkspan/shard/reports/_crashes.py
@@ -82,7 +82,7 @@
         self._pending_give_ups: dict[Task, tuple[Attempt, float]] = {}
 
     def __repr__(self) -> str:
-        return f"CrashTracker({len(self._state.executor_crashes)} falls)"
+        return f"CrashTracker({len(self._state.executor_crashes)} executor crashes)"
 
     def on_incarnation_ended(self, executor: ExecutorState, now: float, proof: str) -> None:
         """Handle the end of an incarnation whose attempts are still in the shard's state."""
--- a/src/linkspan/shard/reports/_ends.py
+++ b/src/linkspan/shard/reports/_ends.py
@@ -15,7 +15,7 @@
 from linkspan.shard.messages import EndKind
 from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.planning._expected_durations import (
-    REFRESH_EVERY,
+    UPDATE_INTERVAL_STEPS,
     record_duration,
     update_expected_durations,
 )
@@ -127,7 +127,7 @@
     def _record_step_duration(self, step: StepRun) -> None:
         estimator = self._state.durations
         record_duration(step, estimator)
-        if estimator.learnt % REFRESH_EVERY == 0:
+        if estimator.learnt % UPDATE_INTERVAL_STEPS == 0:
             for job in self._state.jobs.values():
                 update_expected_durations(job, estimator)
 
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -2,9 +2,9 @@
 
 The components share a context and have a module each: ``_recovery`` (state left by the previous
 owner), ``_feed`` (changes of jobs), ``_dispatch`` (plans and orders), ``_watch`` (polls of
-executors), ``_records`` (writes of records), ``_handovers`` (work for other halls), ``_advisor``
-(tickets of placement policies) and ``_proof`` (proof of ownership). ``_scope`` runs their loops,
-and ``_changes`` wakes them.
+executors), ``_records`` (writes of records), ``_handovers`` (work for other halls),
+``_advice_requester`` (tickets of placement policies) and ``_proof`` (proof of ownership).
+``_scope`` runs their loops, and ``_changes`` wakes them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from linkspan.shard.orders._dispatch import Dispatcher
 from linkspan.shard.ownership._proof import OwnershipProof, TenureLost
 from linkspan.shard.ownership._scope import Scope
-from linkspan.shard.planning._advisor import AdviceRequester
+from linkspan.shard.planning._advice_requester import AdviceRequester
 from linkspan.shard.recovery._records import RecordWriter
 from linkspan.shard.recovery._recovery import Recovery
 from linkspan.shard.reports._watch import ExecutorWatch
@@ -137,7 +137,7 @@
         self._watch = ExecutorWatch(context)
         self._dispatcher = Dispatcher(context, self._watch)
         self._handovers = Handovers(context, summary_of)
-        self._advisor = AdviceRequester(context, policy)
+        self._advice_requester = AdviceRequester(context, policy)
         self._feed = JobFeed(context)
         self._recovery = Recovery(
             context, self._feed, self._handovers, self._watch, claim.former_offline_s
@@ -194,7 +194,7 @@
                 scope.spawn(self._records.prune_loop())
                 scope.spawn(self._handovers.rebalance_loop())
                 scope.spawn(self._watch.poll_machines_loop())
-                scope.spawn(self._advisor.run())
+                scope.spawn(self._advice_requester.run())
                 scope.spawn(self._tick_loop())
         except* (Fenced, ProducerFenced, ProducerGap, TenureLost) as errors:
             raise TenureLost(f"shard {self._shard}: {errors.exceptions[0]}") from errors
--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -5,7 +5,11 @@
 import pytest
 from bench._busy_hall import BusyHall
 
-from linkspan.shard.colocation._plan_rooms import NO_UNUSED_CPU, PlanRooms, remaining_cpu
+from linkspan.shard.colocation._best_effort_capacity import (
+    NO_UNUSED_CPU,
+    BestEffortCapacity,
+    remaining_cpu,
+)
 from linkspan.shard.executor import ExecutorState
 from linkspan.shard.planning.placement import StepPlacement
 from linkspan.shard.task import Task
@@ -31,7 +35,7 @@
     return best
 
 
-def _unused(_rooms: PlanRooms, executor: ExecutorState) -> float:
+def _unused(_best_effort_capacity: BestEffortCapacity, executor: ExecutorState) -> float:
     return NO_UNUSED_CPU if executor.over_latency_target else remaining_cpu(executor)
 
 
@@ -45,6 +49,6 @@
 def test_a_plan_that_looks_at_all_anew_orders_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
     kept = _play()
     monkeypatch.setattr(StepPlacement, "choose", _choose)
-    monkeypatch.setattr(PlanRooms, "unused_cpu", _unused)
+    monkeypatch.setattr(BestEffortCapacity, "unused_cpu", _unused)
     assert _play() == kept
     assert kept[0] > 100
--- a/tests/host/test_shard_chooser.py
+++ b/tests/host/test_shard_chooser.py
@@ -27,7 +27,9 @@
 
 
 def hall(free: int, *, queued: int = 0) -> HallSummary:
-    return HallSummary(capacity=8_000, free=free, queued=queued, rooms=((free, 32_000),), kinds=ONE)
+    return HallSummary(
+        capacity=8_000, free=free, queued=queued, free_by_executor=((free, 32_000),), kinds=ONE
+    )
 
 
 def test_short_work_stays_in_its_hall_while_that_has_room() -> None:
--- a/tests/shard/test_advice.py
+++ b/tests/shard/test_advice.py
@@ -6,7 +6,7 @@
 
 from linkspan.errors import Unreachable
 from linkspan.model.configuration import AdviceRule, Configuration, Queue, Service
-from linkspan.shard.planning.advice import RETRY_S, Advice, AdviceCache
+from linkspan.shard.planning.advice import ADVICE_RETRY_S, Advice, AdviceCache
 from linkspan.shard.step_run import StepRun
 from tests.hall_world import HallWorld
 from tests.job_builders import QUEUE, step
@@ -51,7 +51,7 @@
     assert call
     advice.on_failed(call, 0.0)
     assert advice.next_call(0.0) is None
-    assert advice.next_call(RETRY_S) == call
+    assert advice.next_call(ADVICE_RETRY_S) == call
 
 
 def test_a_call_that_fails_does_not_hold_up_other_steps() -> None:
@@ -62,7 +62,7 @@
     call = advice.next_call(0.0)
     assert call and call.step is first
     advice.on_failed(call, 0.0)
-    call = advice.next_call(RETRY_S)
+    call = advice.next_call(ADVICE_RETRY_S)
     assert call and call.step is second
 
 
--- a/tests/shard/test_gangs_not_begun.py
+++ b/tests/shard/test_gangs_not_begun.py
@@ -7,8 +7,10 @@
 from tests.job_builders import step
 from tests.shard.builders import JOB, core_with, plan
 
-EMPTY = HallSummary(capacity=40_000, free=40_000, rooms=((20_000, 32_000), (20_000, 32_000)))
-FULL = HallSummary(capacity=16_000, rooms=((0, 0), (0, 0)))
+EMPTY = HallSummary(
+    capacity=40_000, free=40_000, free_by_executor=((20_000, 32_000), (20_000, 32_000))
+)
+FULL = HallSummary(capacity=16_000, free_by_executor=((0, 0), (0, 0)))
 
 
 def test_a_gang_that_found_room_for_a_part_moves_whole() -> None:
--- a/tests/shard/test_inherited_leases.py
+++ b/tests/shard/test_inherited_leases.py
@@ -84,7 +84,9 @@
     report(core, "e0", asked=1.0, now=1.0)
     for second in range(1, 25):
         answer_in_part(core, "e1", float(second))
-    other = HallSummary(capacity=80_000, free=80_000, queued=0, rooms=((8_000, 32_000),) * 10)
+    other = HallSummary(
+        capacity=80_000, free=80_000, queued=0, free_by_executor=((8_000, 32_000),) * 10
+    )
     rebalancer = Rebalancer(core, summaries=lambda: {1: other}, count_capable=lambda *_: 10)
     assert rebalancer.plan(summarize(core, 25.0), 25.0) == []
 
--- a/tests/shard/test_rebalance.py
+++ b/tests/shard/test_rebalance.py
@@ -16,8 +16,10 @@
 from tests.job_builders import step
 from tests.shard.builders import JOB, core_with, plan, report
 
-EMPTY = HallSummary(capacity=40_000, free=40_000, rooms=((20_000, 32_000), (20_000, 32_000)))
-FULL = HallSummary(capacity=16_000, rooms=((0, 0), (0, 0)))
+EMPTY = HallSummary(
+    capacity=40_000, free=40_000, free_by_executor=((20_000, 32_000), (20_000, 32_000))
+)
+FULL = HallSummary(capacity=16_000, free_by_executor=((0, 0), (0, 0)))
 
 
 def test_a_job_with_two_ready_steps_moves_once() -> None:
@@ -46,7 +48,7 @@
 
 
 def test_a_displaced_task_may_use_the_room_kept_for_short_ones() -> None:
-    tight = HallSummary(capacity=16_000, free=6_500, rooms=((6_500, 32_000), (0, 0)))
+    tight = HallSummary(capacity=16_000, free=6_500, free_by_executor=((6_500, 32_000), (0, 0)))
     core = core_with(step(3, standing=True, cpu=6_000, max_per_executor=1))
     assert len(plan(core, 0.1)) == 2
     task = core.jobs[JOB].runs[0].steps[0].tasks[2]
@@ -63,7 +65,7 @@
     Other halls had room for it only in what is kept for short work; so it stayed at home,
     which was full, for as long as the other task waited.
     """
-    tight = HallSummary(capacity=16_000, free=6_500, rooms=((6_500, 32_000), (0, 0)))
+    tight = HallSummary(capacity=16_000, free=6_500, free_by_executor=((6_500, 32_000), (0, 0)))
     core = core_with(step(4, standing=True, cpu=6_000, max_per_executor=1))
     assert len(plan(core, 0.1)) == 2
     core.jobs[JOB].runs[0].steps[0].tasks[3].next_run = 2
--- a/tests/shard/test_steps_that_fit_nowhere.py
+++ b/tests/shard/test_steps_that_fit_nowhere.py
@@ -10,7 +10,7 @@
 from linkspan.jobs.spec import Demand
 from linkspan.shard.core import ShardCore
 from linkspan.shard.executor import ExecutorState
-from linkspan.shard.planning._free_room import ExecutorGroup, FreeRoom
+from linkspan.shard.planning._free_capacity import ExecutorGroup, FreeCapacity
 from linkspan.shard.planning.placement import StepPlacement
 from linkspan.shard.planning.planner import Planner
 from tests.job_builders import step
@@ -89,9 +89,11 @@
     """Guards against steps placed by what was free before the steps ahead of them."""
     starts = plan(drawn_hall(seed), 4.0)
 
-    def all_of_them(free: FreeRoom, group: ExecutorGroup, _demand: Demand, _cores: float) -> Any:
+    def all_of_them(
+        free: FreeCapacity, group: ExecutorGroup, _demand: Demand, _cores: float
+    ) -> Any:
         return [row[0] for row in free._rows(group).values()]
 
-    monkeypatch.setattr(FreeRoom, "enough", all_of_them)
+    monkeypatch.setattr(FreeCapacity, "with_capacity", all_of_them)
     assert plan(drawn_hall(seed), 4.0) == starts
     assert starts
