--- a/src/linkspan/host/candidate.py
+++ b/src/linkspan/host/candidate.py
@@ -11,8 +11,8 @@
 from linkspan.events import Event
 from linkspan.shard.ownership._proof import TenureLost
 from linkspan.shard.ownership.ownership import (
-    OFFLINE_S,
-    RENEW_S,
+    MAX_UNPROVED_S,
+    RENEWAL_INTERVAL_S,
     Claim,
     Owner,
     OwnerAct,
@@ -104,7 +104,7 @@
             self._partition,
             on_entries=self._on_entries,
             on_health=self._on_health,
-            on_missed=lambda: self._view.miss(steady()),
+            on_missed=lambda: self._view.on_gap(steady()),
             pause_s=0.0 if home else REMOTE_WATCH_S,
             most_past=PAST_RECORDS,
         )
@@ -113,7 +113,7 @@
         self._tenure_task: asyncio.Task[None] | None = None
         self._renewed_at: dict[int, float] = {}
         self._renewals = 0
-        self._claimed = Claim(float("-inf"), OFFLINE_S)
+        self._claimed = Claim(float("-inf"), MAX_UNPROVED_S)
         self._enabled = asyncio.Event()
 
     def __repr__(self) -> str:
@@ -192,7 +192,7 @@
             if not self._should_claim(now):
                 return
             # An earlier claim of ours, without an answer, may be done since we asked.
-            self._claimed = Claim(asked, now - asked + self._view.offline_left(now))
+            self._claimed = Claim(asked, now - asked + self._view.former_owners_remaining_s(now))
             appended = await self._store.append(
                 self._partition, [Record(record.encode())], at=self._follower.offset
             )
@@ -206,7 +206,7 @@
             former=former.host if former else None,
             silent_s=round(silent, 2),
             former_token=former.token if former else None,
-            former_acts_s=round(self._claimed.former_offline_s, 2),
+            former_acts_s=round(self._claimed.former_owners_remaining_s, 2),
         )
         # Another hall's ownership is looked at seldom, and its claim counts once it is read.
         with suppress(StoreRefused, StoreUnanswered):
@@ -234,7 +234,7 @@
 
     def _on_health(self, healthy: bool) -> None:
         if healthy:
-            self._view.store_back(steady())
+            self._view.on_store_available(steady())
 
     def _follow_view(self) -> None:
         owner = self._view.owner
@@ -263,7 +263,7 @@
             await asyncio.sleep(CRASH_PAUSE_S)
         if self._tenure is tenure:
             self._tenure = None
-            self._view.give_up()
+            self._view.on_tenure_ended()
 
     def _end_tenure(self) -> None:
         if self._tenure_task:
@@ -274,7 +274,7 @@
 
     async def _renew_loop(self) -> None:
         while True:
-            await asyncio.sleep(RENEW_S)
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
             if self._tenure is None:
                 continue
             self._renewed_at[self._renewals + 1] = steady()
--- a/src/linkspan/shard/_context.py
+++ b/src/linkspan/shard/_context.py
@@ -22,7 +22,7 @@
     )
     from linkspan.shard.orders._calls import ExecutorCalls
     from linkspan.shard.ownership._proof import OwnershipProof
-    from linkspan.shard.ownership._scope import Scope
+    from linkspan.shard.ownership._scope import TaskScope
     from linkspan.shard.registry import ConfigurationWatch, ExecutorRegistry
     from linkspan.store.types import Partition, Store
     from linkspan.store.writer import GroupWriter
@@ -124,7 +124,7 @@
     metrics: HostMetrics
     core: ShardCore
     changes: Changes
-    scope: Scope
+    scope: TaskScope
     proof: OwnershipProof
 
     @property
--- a/src/linkspan/shard/_shard_state.py
+++ b/src/linkspan/shard/_shard_state.py
@@ -159,7 +159,7 @@
         name = executor.executor_id
         self.executors[name] = executor
         incarnations = self.incarnations_by_id.setdefault(Incarnation.of(name).executor_id, {})
-        executor.token = self.tokens.of_next(incarnations.values())
+        executor.token = self.tokens.next_token(incarnations.values())
         incarnations[name] = executor
         executor.withheld_ends |= self.withheld_ends.pop(name, set())
         self.membership_changes += 1
@@ -178,7 +178,7 @@
         """Remove an incarnation; the caller handles the attempts on it."""
         executor = self.executors.pop(name, None)
         if executor:
-            self.tokens.on_end(executor.token)
+            self.tokens.on_incarnation_end(executor.token)
             self._remember_withheld_ends(executor)
         executor_id = Incarnation.of(name).executor_id
         incarnations = self.incarnations_by_id.get(executor_id, {})
--- a/src/linkspan/shard/handover/_delegations.py
+++ b/src/linkspan/shard/handover/_delegations.py
@@ -6,7 +6,7 @@
 
 from linkspan.jobs.records import Delegation
 from linkspan.shard.crash_history import delegated_crash_history, retract_crash
-from linkspan.shard.recovery.progress import key_of
+from linkspan.shard.recovery.progress import progress_key
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -99,7 +99,7 @@
         job = self._state.jobs.pop(job_id, None)
         for run in job.runs.values() if job else ():
             self._state.dirty.pop((job_id, run.repetition), None)
-            self._state.dropped.append(key_of(run))
+            self._state.dropped.append(progress_key(run))
             for step in run.steps:
                 self._state.ready.pop(step, None)
                 self._state.advice.remove_step(step)
--- a/src/linkspan/shard/handover/_handovers.py
+++ b/src/linkspan/shard/handover/_handovers.py
@@ -13,7 +13,7 @@
 from linkspan.shard.handover._returned_delegations import ReturnedDelegations
 from linkspan.shard.handover.rebalance import Rebalancer
 from linkspan.shard.handover.summary import summarize
-from linkspan.shard.recovery.progress import RunKey, encode_moved, encode_run, key_of
+from linkspan.shard.recovery.progress import RunKey, encode_moved, encode_run, progress_key
 from linkspan.store.types import Record
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
         if job is None or run is None:
             # The job ended in the meantime.
             return
-        await self._writer.write([Record(encode_run(run), key_of(run))])
+        await self._writer.write([Record(encode_run(run), progress_key(run))])
         if job.delegated_here:
             await self._job_registry.write([self._returned(job_id, run, tasks)])
         elif delegations := self._core.delegations(job_id).get(shard):
--- a/src/linkspan/shard/intake/_jobs.py
+++ b/src/linkspan/shard/intake/_jobs.py
@@ -11,7 +11,7 @@
 from linkspan.shard.job_run import INHERITED_RUN_GAP, new_run
 from linkspan.shard.messages import TaskName
 from linkspan.shard.planning._expected_durations import update_expected_durations
-from linkspan.shard.recovery.progress import RunKey, key_of, restore_run
+from linkspan.shard.recovery.progress import RunKey, progress_key, restore_run
 from linkspan.shard.shard_job import ShardJob
 
 if TYPE_CHECKING:
@@ -213,7 +213,7 @@
         for run in job.runs.values():
             run.durable = float("inf")
             self._state.dirty.pop((job_id, run.repetition), None)
-            self._state.dropped.append(key_of(run))
+            self._state.dropped.append(progress_key(run))
         job.closing = True
         self._state.remove_if_idle(job)
 
--- a/src/linkspan/shard/ownership/_proof.py
+++ b/src/linkspan/shard/ownership/_proof.py
@@ -8,7 +8,7 @@
 from linkspan.clock import steady
 from linkspan.errors import LinkspanError
 from linkspan.events import Event
-from linkspan.shard.ownership.ownership import OFFLINE_S, OWNER_SILENCE_S
+from linkspan.shard.ownership.ownership import MAX_UNPROVED_S, OWNER_SILENCE_S
 
 if TYPE_CHECKING:
     from linkspan.events import EventLog
@@ -70,7 +70,7 @@
         self._detect_freeze(now)
         if self._stopping or self._proved_at < self._proof_required_since:
             return False
-        return now - self._proved_at < OFFLINE_S
+        return now - self._proved_at < MAX_UNPROVED_S
 
     def check(self, now: float) -> None:
         """Check that the tenure's ownership was proved recently enough.
@@ -78,7 +78,7 @@
         Raises:
             TenureLost: Orders are not allowed, and the last proof is too old.
         """
-        if not self.may_act(now) and now - self._proved_at >= 2 * OFFLINE_S:
+        if not self.may_act(now) and now - self._proved_at >= 2 * MAX_UNPROVED_S:
             raise TenureLost("ownership could not be proved in time")
 
     async def watch_freeze(self) -> None:
--- a/src/linkspan/shard/ownership/_scope.py
+++ b/src/linkspan/shard/ownership/_scope.py
@@ -9,7 +9,7 @@
     from collections.abc import Coroutine
 
 
-class Scope:
+class TaskScope:
     """Starts background tasks of a tenure, and none once the tenure is ending."""
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         self._ending = False
 
     def __repr__(self) -> str:
-        return f"Scope(ending={self._ending})"
+        return f"TaskScope(ending={self._ending})"
 
     def enter(self, group: asyncio.TaskGroup) -> None:
         """Run all further tasks in a task group."""
--- a/src/linkspan/shard/ownership/_tokens.py
+++ b/src/linkspan/shard/ownership/_tokens.py
@@ -30,11 +30,11 @@
     def __repr__(self) -> str:
         return f"TenureTokens({self._first} to {self._highest_token}, at most {self._token_limit})"
 
-    def allow(self, limit: int) -> None:
+    def raise_limit(self, limit: int) -> None:
         """Raise the limit up to which tokens are below those of any later tenure."""
         self._token_limit = max(self._token_limit, limit)
 
-    def of_next(self, others: Iterable[ExecutorState]) -> int:
+    def next_token(self, others: Iterable[ExecutorState]) -> int:
         """Return the token for an incarnation that was just found.
 
         The token does not exceed the allowed limit: after a claim that was not renewed yet, the
@@ -48,6 +48,6 @@
         self._highest_token = max(self._highest_token, token)
         return token
 
-    def on_end(self, token: int) -> None:
+    def on_incarnation_end(self, token: int) -> None:
         """Handle the end of an incarnation with this token, whose id may be used again."""
         self._min_token = max(self._min_token, token + 1)
--- a/src/linkspan/shard/ownership/ownership.py
+++ b/src/linkspan/shard/ownership/ownership.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from linkspan.store.types import Entry
 
-RENEW_S = 0.6
+RENEWAL_INTERVAL_S = 0.6
 """Time between renewals, in seconds: three fit into the silence that ends ownership."""
 
 OWNER_SILENCE_S = 2.0
@@ -36,7 +36,7 @@
 0.4 s for each. Hosts check another hall's ownership every 2 s, so that the work of a cancelled job
 without an owner is still stopped within the 3 s that the platform grants."""
 
-OFFLINE_S = 10.0
+MAX_UNPROVED_S = 10.0
 """Time for which an owner continues without having proved its ownership. Outages of the store last
 up to 9 s."""
 
@@ -131,12 +131,12 @@
     Attributes:
         sent_at: Steady time before which the claim had not taken effect. The claim proves ownership
             as of this time, however late the host reads it back.
-        former_offline_s: Time after ``sent_at`` for which former owners may act without having
-            proved their ownership, in seconds.
+        former_owners_remaining_s: Time after ``sent_at`` for which former owners may act without
+            having proved their ownership, in seconds.
     """
 
     sent_at: float
-    former_offline_s: float
+    former_owners_remaining_s: float
 
 
 class OwnerView:
@@ -213,7 +213,7 @@
             # The claim itself is beyond the log's retention, or was not read. A renewal of an
             # earlier tenure that arrives late does not identify the owner.
             self._newest_token = record.token
-            self._former_owners_until = now + OFFLINE_S - _undisputed_s(record, entry.offset)
+            self._former_owners_until = now + MAX_UNPROVED_S - _undisputed_s(record, entry.offset)
             self._owner = Owner(record.host, record.incarnation, record.token)
             self._claim_read = False
             self._has_gap = False
@@ -235,10 +235,10 @@
         if self._owner is None or not self._claim_read:
             # A renewal may be appended late: others may have owned the shard since, in records not
             # read.
-            self._former_owners_until = now + OFFLINE_S
+            self._former_owners_until = now + MAX_UNPROVED_S
         elif self._owner.host != claim.host:
             self._former_owners_until = max(
-                self._former_owners_until, now - self.silent_for(now) + OFFLINE_S
+                self._former_owners_until, now - self.silent_for(now) + MAX_UNPROVED_S
             )
 
     def _on_owner_record(self, record: OwnerRecord, now: float) -> None:
@@ -259,19 +259,19 @@
         while len(self._effects) > MAX_REMEMBERED_EFFECTS:
             del self._effects[next(iter(self._effects))]
 
-    def give_up(self) -> None:
+    def on_tenure_ended(self) -> None:
         """Record that this process no longer acts as the owner."""
         if self.mine:
             self._owner = None
 
-    def miss(self, now: float) -> None:
+    def on_gap(self, now: float) -> None:
         """Handle a gap in the records that were read, which may hide a claim by any host."""
         self._has_gap = True
         self._claim_read = False
         self._last_record_at = now
-        self._former_owners_until = now + OFFLINE_S
+        self._former_owners_until = now + MAX_UNPROVED_S
 
-    def store_back(self, now: float) -> None:
+    def on_store_available(self, now: float) -> None:
         """Restart the owner's silence when the store answers this host again.
 
         The silence before may have been this host's own.
@@ -284,7 +284,7 @@
             self._last_record_at = now
         return now - self._last_record_at
 
-    def offline_left(self, now: float) -> float:
+    def former_owners_remaining_s(self, now: float) -> float:
         """Return for how many seconds former owners may act, unproved, after a claim made now.
 
         All former owners count, not only the last one. The first of several may merely be cut off
@@ -293,10 +293,10 @@
         """
         others = max(self._former_owners_until - now, 0.0)
         if self._owner is None:
-            return OFFLINE_S
+            return MAX_UNPROVED_S
         if self._owner.host == self._host:
             return others
-        return max(OFFLINE_S - self.silent_for(now), others)
+        return max(MAX_UNPROVED_S - self.silent_for(now), others)
 
     def should_claim(self, now: float, *, delay_s: float = 0.0) -> bool:
         """Whether to claim the shard, right after the store reported no further records.
@@ -326,4 +326,4 @@
     some of them, possibly a claim.
     """
     since_claim = offset + 1 - renewal.token
-    return (renewal.number - 1) * RENEW_S if since_claim <= renewal.number else 0.0
+    return (renewal.number - 1) * RENEWAL_INTERVAL_S if since_claim <= renewal.number else 0.0
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -11,7 +11,7 @@
 from linkspan.clock import steady
 from linkspan.jobs.records import Begun, Finished, Tombstone
 from linkspan.shard.attempt import NEVER
-from linkspan.shard.recovery.progress import ROSTER_KEY, encode_roster, encode_run, key_of
+from linkspan.shard.recovery.progress import ROSTER_KEY, encode_roster, encode_run, progress_key
 from linkspan.store.types import Record
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
             async with asyncio.timeout(FLUSH_INTERVAL_S):
                 await self._changes.starts.wait()
 
-    async def answers_loop(self) -> None:
+    async def record_answers_loop(self) -> None:
         """Trigger the writing of answers to starts for as long as the tenure lasts."""
         while True:
             await asyncio.sleep(MAX_ANSWER_RECORD_DELAY_S)
@@ -127,7 +127,7 @@
         # Tombstones come first: a job that moved away may have returned with delegated tasks since,
         # and its new record must follow them.
         records = [Record(b"", key) for key in dropped]
-        records += [Record(encode_run(run), key_of(run)) for run in runs]
+        records += [Record(encode_run(run), progress_key(run)) for run in runs]
         roster, withheld_count = frozenset(core.executors), core.withheld_count
         if self._changes.roster_changed():
             roster_value = encode_roster(e.roster_record for e in core.executors.values())
@@ -192,7 +192,7 @@
         self._core.on_finished(finished.job_id)
         self._changes.notify()
 
-    async def begun_loop(self) -> None:
+    async def record_started_jobs_loop(self) -> None:
         """Record which jobs have started."""
         while True:
             await asyncio.sleep(BEGUN_BATCH_S)
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -34,7 +34,8 @@
         feed: Adds jobs to the shard.
         handovers: Finishes moves of jobs to other shards.
         watch: Polls executors.
-        former_offline_s: Time after the claim for which former owners may still act, in seconds.
+        former_owners_remaining_s: Time after the claim for which former owners may still act, in
+            seconds.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         feed: JobFeed,
         handovers: Handovers,
         watch: ExecutorWatch,
-        former_offline_s: float,
+        former_owners_remaining_s: float,
     ) -> None:
         self._core = context.core
         self._shard = context.shard
@@ -63,7 +64,7 @@
         self._feed = feed
         self._handovers = handovers
         self._watch = watch
-        self._former_offline_s = former_offline_s
+        self._former_owners_remaining_s = former_owners_remaining_s
         self._token = context.token
         self._done = False
 
@@ -91,7 +92,9 @@
         if self._configuration.current:
             core.configure(self._configuration.current)
         leases_expire_at = inherited_lease_expiry(
-            self._proof.claimed_at, self._former_offline_s, self._settings.bounds.max_lease_s
+            self._proof.claimed_at,
+            self._former_owners_remaining_s,
+            self._settings.bounds.max_lease_s,
         )
         self._inherit_executors(records.pop(ROSTER_KEY, b""), leases_expire_at)
         self._add_jobs(records, now)
@@ -105,7 +108,7 @@
             token=self._token,
             took_s=round(now - self._proof.claimed_at, 3),
             roster=len(core.awaiting_report_ids),
-            former_acts_s=round(self._former_offline_s, 2),
+            former_acts_s=round(self._former_owners_remaining_s, 2),
             leases_end_s=round(leases_expire_at - now, 2),
             **core.describe(),
         )
--- a/src/linkspan/shard/recovery/progress.py
+++ b/src/linkspan/shard/recovery/progress.py
@@ -38,7 +38,7 @@
         return f"{self.job_id}.{self.repetition}".encode()
 
 
-def key_of(run: JobRun) -> bytes:
+def progress_key(run: JobRun) -> bytes:
     """Return the key of a repetition's progress record."""
     return RunKey(run.job.job_id, run.repetition).encode()
 
--- a/src/linkspan/shard/reports/_restarts.py
+++ b/src/linkspan/shard/reports/_restarts.py
@@ -21,7 +21,7 @@
 """Evidence, in the log, for the end of an incarnation whose id another incarnation answers
 under."""
 
-MAX_PASSED_OVER_LINES_PER_S = 5
+MAX_IGNORED_REPORT_LINES_PER_S = 5
 """Log lines per second on ignored reports; an executor is polled some ten times per second."""
 
 
@@ -40,7 +40,7 @@
         self._state = state
         self._crashes = crashes
         self._ended_at: dict[str, float] = {}
-        self._ignored_reports = LogRateLimiter(MAX_PASSED_OVER_LINES_PER_S)
+        self._ignored_reports = LogRateLimiter(MAX_IGNORED_REPORT_LINES_PER_S)
 
     def __repr__(self) -> str:
         return f"RestartTracker({len(self._ended_at)} incarnations ended)"
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -26,7 +26,7 @@
 from linkspan.shard.orders._calls import ExecutorCalls
 from linkspan.shard.orders._dispatch import Dispatcher
 from linkspan.shard.ownership._proof import OwnershipProof, TenureLost
-from linkspan.shard.ownership._scope import Scope
+from linkspan.shard.ownership._scope import TaskScope
 from linkspan.shard.planning._advice_requester import AdviceRequester
 from linkspan.shard.recovery._records import RecordWriter
 from linkspan.shard.recovery._recovery import Recovery
@@ -108,7 +108,7 @@
         self._writer = GroupWriter(store, partition, name="owner", epoch=owner.token)
         self._effect_selector = EffectSelector()
         self._changes = Changes(core)
-        self._scope = Scope()
+        self._scope = TaskScope()
         self._proof = OwnershipProof(
             shard, claim.sent_at, freeze_s=settings.bounds.freeze_s, log=log
         )
@@ -140,7 +140,7 @@
         self._advice_requester = AdviceRequester(context, policy)
         self._feed = JobFeed(context)
         self._recovery = Recovery(
-            context, self._feed, self._handovers, self._watch, claim.former_offline_s
+            context, self._feed, self._handovers, self._watch, claim.former_owners_remaining_s
         )
 
     def __repr__(self) -> str:
@@ -159,7 +159,7 @@
             token_limit: Highest fencing token that belongs to this tenure.
         """
         self._proof.proved(at)
-        self._core.tokens.allow(token_limit)
+        self._core.tokens.raise_limit(token_limit)
         self._core.sole_owner_until = self._proof.sole_owner_until
 
     def may_act(self, now: float) -> bool:
@@ -188,9 +188,9 @@
                 scope.spawn(self._proof.watch_freeze())
                 scope.spawn(self._dispatcher.plan_loop())
                 scope.spawn(self._records.flush_loop())
-                scope.spawn(self._records.answers_loop())
+                scope.spawn(self._records.record_answers_loop())
                 scope.spawn(self._records.finish_loop())
-                scope.spawn(self._records.begun_loop())
+                scope.spawn(self._records.record_started_jobs_loop())
                 scope.spawn(self._records.prune_loop())
                 scope.spawn(self._handovers.rebalance_loop())
                 scope.spawn(self._watch.poll_machines_loop())
--- a/tests/host/test_claims_read_late.py
+++ b/tests/host/test_claims_read_late.py
@@ -9,7 +9,7 @@
 import asyncio
 import time
 
-from linkspan.shard.ownership.ownership import OFFLINE_S, OwnerAct, OwnerRecord
+from linkspan.shard.ownership.ownership import MAX_UNPROVED_S, OwnerAct, OwnerRecord
 from linkspan.store.types import Partition
 from tests.hall_world import HallWorld
 from tests.virtual_time import run_virtual
@@ -36,7 +36,7 @@
             await asyncio.sleep(0.005)
         assert time.monotonic() - claimed_at >= READ_TAKES_S / 2
         world.store.silent.add(second)
-        await asyncio.sleep(claimed_at + OFFLINE_S + 0.1 - time.monotonic())
+        await asyncio.sleep(claimed_at + MAX_UNPROVED_S + 0.1 - time.monotonic())
         assert not candidate.tenure.may_act(time.monotonic())
 
     run_virtual(play())
--- a/tests/host/test_late_renewal_before_a_claim.py
+++ b/tests/host/test_late_renewal_before_a_claim.py
@@ -19,7 +19,7 @@
 import pytest
 
 from linkspan.host.candidate import PAST_RECORDS
-from linkspan.shard.ownership.ownership import OFFLINE_S, OwnerAct, OwnerRecord, OwnerView
+from linkspan.shard.ownership.ownership import MAX_UNPROVED_S, OwnerAct, OwnerRecord, OwnerView
 from linkspan.store.types import Entry
 from tests.hall_world import HallWorld
 from tests.host.owner_waits import BEGUN_S, LONG_S, OUTLIVED_S, OWNERS, until
@@ -72,4 +72,4 @@
     ]
     for offset, record in enumerate(records, 118):
         view.apply(Entry(offset, record.encode()), 10.0)
-    assert view.offline_left(10.0) == OFFLINE_S
+    assert view.former_owners_remaining_s(10.0) == MAX_UNPROVED_S
--- a/tests/shard/test_orders_not_sent_yet.py
+++ b/tests/shard/test_orders_not_sent_yet.py
@@ -31,7 +31,7 @@
 from linkspan.shard.orders._calls import ExecutorCalls
 from linkspan.shard.orders._dispatch import Dispatcher
 from linkspan.shard.ownership._proof import OwnershipProof
-from linkspan.shard.ownership.ownership import OFFLINE_S
+from linkspan.shard.ownership.ownership import MAX_UNPROVED_S
 from linkspan.shard.reports._watch import ExecutorWatch
 from tests.job_builders import step
 from tests.shard.builders import core_with
@@ -103,5 +103,5 @@
     turned = _Turned()
     turned.proof.proved(0.1)
     turned.plan(0.2)
-    turned.turn(0.2 + 2 * OFFLINE_S)
+    turned.turn(0.2 + 2 * MAX_UNPROVED_S)
     assert turned.sent == []
--- a/tests/shard/test_ownership.py
+++ b/tests/shard/test_ownership.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from linkspan.shard.ownership.ownership import (
-    OFFLINE_S,
+    MAX_UNPROVED_S,
     OWNER_SILENCE_S,
     RELEASED_CLAIM_DELAY_S,
     REMOTE_OWNER_SILENCE_S,
-    RENEW_S,
+    RENEWAL_INTERVAL_S,
     Owner,
     OwnerAct,
     OwnerRecord,
@@ -75,7 +75,7 @@
 def test_the_own_silence_is_not_the_owners() -> None:
     seen = view()
     seen.apply(entry(0, OwnerAct.CLAIM, "other"), 0.0)
-    seen.store_back(6.0)
+    seen.on_store_available(6.0)
     assert not seen.should_claim(6.1)
     assert seen.should_claim(6.0 + OWNER_SILENCE_S)
 
@@ -95,32 +95,32 @@
 def test_a_silent_owner_may_act_for_the_rest_of_its_time() -> None:
     seen = view()
     seen.apply(renewal(9, "other", token=1, number=50), 0.0)
-    assert seen.offline_left(4.0) == OFFLINE_S - 4.0
+    assert seen.former_owners_remaining_s(4.0) == MAX_UNPROVED_S - 4.0
 
 
 def test_an_owner_that_gave_the_shard_back_counts_as_one_that_is_not_known() -> None:
     seen = view()
-    assert seen.offline_left(0.0) == OFFLINE_S
+    assert seen.former_owners_remaining_s(0.0) == MAX_UNPROVED_S
 
 
 def test_the_owner_before_an_earlier_life_of_this_host_counts() -> None:
     seen = view()
     seen.apply(entry(9, OwnerAct.CLAIM, "other"), 0.0)
     seen.apply(entry(10, OwnerAct.CLAIM, "me", incarnation="me-first"), 3.0)
-    assert seen.offline_left(4.0) == OFFLINE_S - 4.0
+    assert seen.former_owners_remaining_s(4.0) == MAX_UNPROVED_S - 4.0
 
 
 def test_an_earlier_life_that_ruled_for_long_leaves_no_time_to_others() -> None:
     seen = view()
-    ruled = int(OFFLINE_S / RENEW_S) + 2
+    ruled = int(MAX_UNPROVED_S / RENEWAL_INTERVAL_S) + 2
     seen.apply(renewal(9, "me", token=1, number=ruled), 0.0)
-    assert seen.offline_left(0.0) == 0.0
+    assert seen.former_owners_remaining_s(0.0) == 0.0
 
 
 def test_an_earlier_life_whose_claim_alone_is_read_may_have_followed_another() -> None:
     seen = view()
     seen.apply(entry(9, OwnerAct.CLAIM, "me", incarnation="me-first"), 0.0)
-    assert seen.offline_left(1.0) == OFFLINE_S - 1.0
+    assert seen.former_owners_remaining_s(1.0) == MAX_UNPROVED_S - 1.0
 
 
 def test_a_renewal_that_was_done_late_does_not_hide_the_owner_from_who_starts_behind_it() -> None:
@@ -129,7 +129,7 @@
     seen.apply(renewal(20, "me", token=3, number=9), 0.0)
     seen.apply(renewal(21, "other", token=18, number=2), 0.0)
     assert seen.owner == Owner("other", "other-life", 18)
-    assert seen.offline_left(1.0) == OFFLINE_S - 1.0
+    assert seen.former_owners_remaining_s(1.0) == MAX_UNPROVED_S - 1.0
 
 
 def test_a_renewal_that_was_done_late_does_not_bring_a_released_tenure_back() -> None:
--- a/tests/shard/test_tokens.py
+++ b/tests/shard/test_tokens.py
@@ -32,7 +32,7 @@
 
 def test_a_next_life_is_told_a_higher_token() -> None:
     core = core_with(step(1), executors=0)
-    core.tokens.allow(5)
+    core.tokens.raise_limit(5)
     add_executor(core, FIRST)
     add_executor(core, "e1@1000")
     add_executor(core, SECOND)
@@ -42,7 +42,7 @@
 
 def test_a_life_that_is_found_after_the_one_before_left_is_told_a_higher_token() -> None:
     core = core_with(step(1), executors=0)
-    core.tokens.allow(5)
+    core.tokens.raise_limit(5)
     add_executor(core, FIRST)
     token = core.executors[FIRST].token
     core.on_incarnation_ended(FIRST, 1.0, "machine service no longer lists it", since=0.5)
@@ -52,10 +52,10 @@
 
 def test_no_token_is_higher_than_what_is_this_tenures_own() -> None:
     tokens = TenureTokens(7)
-    tokens.on_end(7)
-    assert tokens.of_next([]) == 7
-    tokens.allow(8)
-    assert tokens.of_next([]) == 8
+    tokens.on_incarnation_end(7)
+    assert tokens.next_token([]) == 7
+    tokens.raise_limit(8)
+    assert tokens.next_token([]) == 8
 
 
 def test_renewals_that_were_read_raise_the_limit() -> None:
@@ -68,7 +68,7 @@
 def test_a_renewal_behind_records_that_went_raises_no_limit() -> None:
     """A claim of another host may be among them, and its token is the higher one."""
     view = _view()
-    view.miss(0.5)
+    view.on_gap(0.5)
     view.apply(_entry(9, OwnerAct.RENEW, "me", token=5, number=1), 1.0)
     assert view.token_limit == 5
 
@@ -83,7 +83,7 @@
 
 def test_a_call_that_a_next_life_refuses_does_not_end_the_tenure() -> None:
     core = core_with(step(1), executors=0)
-    core.tokens.allow(5)
+    core.tokens.raise_limit(5)
     add_executor(core, FIRST)
     add_executor(core, SECOND)
     calls = ExecutorCalls(lambda token: cast(Any, token), core.token_outdated)
@@ -96,7 +96,7 @@
 def test_a_newer_owner_is_believed_though_other_executors_were_told_higher_tokens() -> None:
     """Guards against an owner that goes on calling after a newer one was obeyed."""
     core = core_with(step(1), executors=0)
-    core.tokens.allow(5)
+    core.tokens.raise_limit(5)
     add_executor(core, "e1@1000")
     add_executor(core, FIRST)
     add_executor(core, SECOND)
