--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -19,7 +19,7 @@
 
 from soak.callers import PAYLOAD, Callers, Job  # noqa: E402
 from soak.deployment import CALLERS_PORT, READINESS_PORT, Plan  # noqa: E402
-from soak.judge import crashes, judge  # noqa: E402
+from soak.judge import judge, unexpected_errors  # noqa: E402
 from soak.world import World  # noqa: E402
 from tests.job_builders import QUEUE, job_body, step  # noqa: E402
 
@@ -139,7 +139,7 @@
         world = self._world
         one_of_each = {world.hall_of(address): address for address in world.executor_addresses}
         for address in one_of_each.values():
-            took = await world.executors.tell("crash", {"address": address, "back": True})
+            took = await world.executors.send_command("crash", {"address": address, "back": True})
             self._lost += len(self._tasks(self._standing) & set(took))
         print(f"killed {host.name}, owner of shard {self._killed['shard']} (SIGKILL)")
         print(f"crashed an executor in each hall, {self._lost} standing tasks with them")
@@ -165,8 +165,8 @@
 
     async def _count(self, began: float) -> list[Count]:
         observed = await self._world.observed()
-        broken = judge(self._callers, observed, began) + crashes(self._folder)
-        broken += [end for host in self._world.hosts.values() for end in host.own_ends]
+        broken = judge(self._callers, observed, began) + unexpected_errors(self._folder)
+        broken += [end for host in self._world.hosts.values() for end in host.unexpected_exits]
         print(*broken, sep="\n", end="\n" if broken else "")
         jobs, ending, standing = self._callers.jobs, self._ending, self._tasks(self._standing)
         tasks = self._tasks(ending)
@@ -192,7 +192,7 @@
         job = self._new_job(BATCH)
         body = job_body(job.spec)
         # The stand-ins judge each start by what was asked for, so they must know the job.
-        await self._world.executors.tell("job", {"id": job.id, "body": body.decode()})
+        await self._world.executors.send_command("job", {"id": job.id, "body": body.decode()})
         path = self._folder / "job.json"
         path.write_bytes(body)
         print()
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -186,7 +186,7 @@
         registration: dict[str, object] = {"id": job.id, "body": job_body(job.spec).decode()}
         if job.crash_after_s is not None:
             registration["crash_after_s"] = job.crash_after_s
-        await self._executors.tell("job", registration)
+        await self._executors.send_command("job", registration)
         for _ in range(MAX_ATTEMPTS):
             outcome = await self._attempt(job, self._host(draw))
             if outcome is SubmitOutcome.ACCEPTED:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -76,7 +76,7 @@
 
 async def _claiming_host(world: World, draw: Random) -> HostProcess:
     """Return the host that last made a conditional append, which is how hosts claim shards."""
-    name = await world.store.tell("last_conditional")
+    name = await world.store.send_command("last_conditional")
     return world.hosts.get(name) or _host(world, draw)
 
 
@@ -271,17 +271,17 @@
 @fault
 async def store_down(world: World, draw: Random) -> None:
     """Make the store refuse all calls."""
-    await world.store.tell("server", {"status": 503})
+    await world.store.send_command("server", {"status": 503})
     await _hold_fault(draw)
-    await world.store.tell("server", {"status": None})
+    await world.store.send_command("server", {"status": None})
 
 
 @fault
 async def store_slow(world: World, draw: Random) -> None:
     """Delay responses of the store, by up to nearly the time-out of hosts."""
-    await world.store.tell("server", {"delay_s": draw.choice((0.1, 0.4, 0.9))})
+    await world.store.send_command("server", {"delay_s": draw.choice((0.1, 0.4, 0.9))})
     await _hold_fault(draw)
-    await world.store.tell("server", {"delay_s": 0.0})
+    await world.store.send_command("server", {"delay_s": 0.0})
 
 
 @fault
@@ -289,25 +289,25 @@
     """Make the store refuse the calls of some hosts, or not respond to them."""
     names = draw.sample(list(world.hosts), draw.randint(1, len(world.hosts)))
     how = draw.choice(("refusing", "silent"))
-    await world.store.tell("turn_away", {how: names})
+    await world.store.send_command("turn_away", {how: names})
     await _hold_fault(draw)
-    await world.store.tell("turn_away", {how: []})
+    await world.store.send_command("turn_away", {how: []})
 
 
 @fault
 async def store_loses_answers(world: World, draw: Random) -> None:
     """Make the store apply appends without a response, either at once or seconds later."""
     values = {"losing": draw.choice((0.1, 0.4)), "late": draw.random() < 0.5}
-    await world.store.tell("store", values)
+    await world.store.send_command("store", values)
     await _hold_fault(draw)
-    await world.store.tell("store", {"losing": 0.0})
+    await world.store.send_command("store", {"losing": 0.0})
 
 
 @fault
 async def store_forgets(world: World, draw: Random) -> None:
     """Make the store drop its history, twice."""
     for _ in range(2):
-        await world.store.tell("forget")
+        await world.store.send_command("forget")
         await asyncio.sleep(draw.uniform(0.0, 1.0))
 
 
@@ -322,7 +322,7 @@
     crashed = []
     for address in addresses:
         back = draw.random() < 0.5
-        await world.executors.tell("crash", {"address": address, "back": back})
+        await world.executors.send_command("crash", {"address": address, "back": back})
         if not back:
             crashed.append(address)
     await _hold_fault(draw)
@@ -335,18 +335,18 @@
     """Drain some executors and replace them by new ones at the same addresses."""
     addresses = world.executor_addresses
     for address in draw.sample(addresses, draw.randint(1, (len(addresses) + 1) // 2)):
-        await world.executors.tell("drain", {"address": address})
+        await world.executors.send_command("drain", {"address": address})
         await asyncio.sleep(draw.uniform(2.0, 3.0))
-        await world.executors.tell("crash", {"address": address, "back": True})
+        await world.executors.send_command("crash", {"address": address, "back": True})
 
 
 @fault
 async def executors_misbehave(world: World, draw: Random) -> None:
     """Make executors fail runs, execute orders late or lose responses."""
     name = draw.choice(EXECUTOR_SHARES)
-    await world.executors.tell("world", {name: draw.choice((0.05, 0.3))})
+    await world.executors.send_command("world", {name: draw.choice((0.05, 0.3))})
     await _hold_fault(draw)
-    await world.executors.tell("world", {name: 0.0})
+    await world.executors.send_command("world", {name: 0.0})
 
 
 # Capacities
@@ -368,7 +368,7 @@
             "address": address,
             "milli_cpu": draw.choice((0, 1_000, REDUCED_CAPACITY_MILLI_CPU)),
         }
-        await world.executors.tell("resize", capacity)
+        await world.executors.send_command("resize", capacity)
     await _hold_fault(draw)
     for address in addresses:
         capacity = {
@@ -377,7 +377,7 @@
                 (REDUCED_CAPACITY_MILLI_CPU, FULL_CAPACITY_MILLI_CPU, FULL_CAPACITY_MILLI_CPU)
             ),
         }
-        await world.executors.tell("resize", capacity)
+        await world.executors.send_command("resize", capacity)
 
 
 def restart_fault(function: Fault) -> Fault:
@@ -395,6 +395,6 @@
     for _ in range(draw.randint(1, 3)):
         for address in addresses:
             restart = {"address": address, "down_s": draw.choice((0.01, 0.5, 2.0, 6.0))}
-            await world.executors.tell("restart", {**restart, "clock_s": clock_s})
+            await world.executors.send_command("restart", {**restart, "clock_s": clock_s})
         await asyncio.sleep(draw.uniform(0.1, MAX_PAUSE_S))
     await _hold_fault(draw)
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -145,7 +145,7 @@
     return f" (done {done} of {len(job.tasks)}, running {running}, submissions {job.outcomes})"
 
 
-def crashes(folder: Path) -> list[str]:
+def unexpected_errors(folder: Path) -> list[str]:
     """Return the unexpected errors in the hosts' logs in a folder."""
     lines = []
     for path in sorted(folder.glob("host-*.log")):
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -62,7 +62,7 @@
         """Address for commands."""
         return self.addresses["control"]
 
-    async def tell(self, command: str, argument: Any = None) -> Any:
+    async def send_command(self, command: str, argument: Any = None) -> Any:
         """Run a command in the process and return its result."""
         url = f"http://{self.control}/{command}"
         async with self._session.post(url, json=argument) as response:
@@ -88,7 +88,7 @@
     Attributes:
         start_count: Number of incarnations started.
         disrupted_at: Steady time of the last signal that may interrupt requests in flight.
-        own_ends: Incarnations that ended without a request to end, or with an error.
+        unexpected_exits: Incarnations that ended without a request to end, or with an error.
     """
 
     def __init__(self, name: str, address: str, settings: Path, log: Path) -> None:
@@ -101,7 +101,7 @@
         self.address = address
         self.start_count = 0
         self.disrupted_at = float("-inf")
-        self.own_ends: list[str] = []
+        self.unexpected_exits: list[str] = []
         self._end_requested = False
         self._watchers: set[asyncio.Task[None]] = set()
 
@@ -137,7 +137,7 @@
         code = await process.wait()
         os.close(handle)
         if not self._end_requested or code > 0:
-            self.own_ends.append(f"{self.name} ended by itself with exit code {code}")
+            self.unexpected_exits.append(f"{self.name} ended by itself with exit code {code}")
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal; all signals except SIGTERM and SIGHUP may interrupt requests in flight."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,7 +11,13 @@
 from soak.callers import Callers, SubmitOutcome
 from soak.deployment import Plan
 from soak.faults import CAPACITY_FAULTS, RESTART_FAULTS, SERIES_COUNT, run_series
-from soak.judge import await_configuration, count_other_given_up_jobs, crashes, judge, settle
+from soak.judge import (
+    await_configuration,
+    count_other_given_up_jobs,
+    judge,
+    settle,
+    unexpected_errors,
+)
 from soak.persistent_callers import ConnectionStats, PersistentCaller
 from soak.world import World
 
@@ -95,7 +101,7 @@
             callers = Callers(random, world.callers_at, world.executors, world.session)
             await self._cause_faults(world, callers)
             await self._check_recovery(world, callers)
-        self._outcome.violations += crashes(self._folder)
+        self._outcome.violations += unexpected_errors(self._folder)
         self._outcome.seconds = time.monotonic() - self._started_at
         return self._outcome
 
@@ -155,7 +161,9 @@
         observed = await world.observed()
         outcome.violations += judge(callers, observed, calm_from)
         outcome.violations += world.violations + self._stats.violations
-        outcome.violations += [f"ENDED {end}" for h in world.hosts.values() for end in h.own_ends]
+        outcome.violations += [
+            f"ENDED {end}" for h in world.hosts.values() for end in h.unexpected_exits
+        ]
         outcome.jobs = len(callers.jobs)
         outcome.accepted = sum(1 for job in callers.jobs if job.accepted_at)
         outcome.crashing = sum(1 for job in callers.jobs if job.accepted_at and job.crash_after_s)
--- a/soak/world.py
+++ b/soak/world.py
@@ -91,7 +91,7 @@
         self.executors = await self._start_stand_in(
             "soak.executors", str(self.plan.seed), str(self.plan.executors), self.store.control
         )
-        await self.executors.tell("world", {"guards_room": self.plan.guards_room})
+        await self.executors.send_command("world", {"guards_room": self.plan.guards_room})
         await self.configure(0)
         for number in range(self.plan.executors):
             await self._add_executor(number)
@@ -126,7 +126,7 @@
             "address": address,
             "port": self._executor_ports[address],
         }
-        await self.executors.tell("executor", location)
+        await self.executors.send_command("executor", location)
 
     async def _add_host(self, number: int, name: str) -> None:
         address = host_address(number)
@@ -146,7 +146,7 @@
         self.extra_routes = extra_routes
         guards_room = self.plan.guards_room
         value = configuration(self.version, extra_routes, guards_room=guards_room)
-        await self.store.tell("put", {"topic": "op", "key": "config", "value": value})
+        await self.store.send_command("put", {"topic": "op", "key": "config", "value": value})
 
     async def stop(self, host: HostProcess) -> None:
         """Stop a host as planned; a host that exceeds its grace time is a violation."""
@@ -180,15 +180,15 @@
         for proxy in (proxy for group in links for proxy in group.values()):
             proxy.cut = frozenset()
             proxy.delay_s = 0.0
-        await self.store.tell("server", {"status": None, "delay_s": 0.0})
-        await self.store.tell("store", {"losing": 0.0, "late": False})
-        await self.store.tell("turn_away", {"refusing": [], "silent": []})
-        await self.executors.tell("world", dict.fromkeys(EXECUTOR_SHARES, 0.0))
+        await self.store.send_command("server", {"status": None, "delay_s": 0.0})
+        await self.store.send_command("store", {"losing": 0.0, "late": False})
+        await self.store.send_command("turn_away", {"refusing": [], "silent": []})
+        await self.executors.send_command("world", dict.fromkeys(EXECUTOR_SHARES, 0.0))
         await asyncio.gather(*(host.start() for host in self.hosts.values()))
 
     async def observed(self) -> Observed:
         """Return what the executors have observed so far."""
-        return Observed(**await self.executors.tell("observed"))
+        return Observed(**await self.executors.send_command("observed"))
 
 
 EXECUTOR_SHARES = ("failing_share", "late_share", "lost_answer_share")
--- a/src/linkspan/_fields.py
+++ b/src/linkspan/_fields.py
@@ -10,7 +10,7 @@
 from linkspan.errors import InvalidInput
 
 
-def json_object(body: bytes) -> dict[str, Any]:
+def parse_json_object(body: bytes) -> dict[str, Any]:
     """Decode a body that must be a JSON object.
 
     Raises:
@@ -34,16 +34,16 @@
     return dict(value)
 
 
-def as_text(path: str, value: Any, *, longest: int = 1_024) -> str:
-    """Return a value that must be a text of 1 to ``longest`` printable characters.
+def as_text(path: str, value: Any, *, max_length: int = 1_024) -> str:
+    """Return a value that must be a text of 1 to ``max_length`` printable characters.
 
     Raises:
         InvalidInput: The value is not such a text.
     """
-    if isinstance(value, str) and 1 <= len(value) <= longest and value.isprintable():
+    if isinstance(value, str) and 1 <= len(value) <= max_length and value.isprintable():
         return value
     problem = "missing" if value is None else "malformed"
-    raise InvalidInput(path, problem, f"give 1 to {longest} printable characters")
+    raise InvalidInput(path, problem, f"give 1 to {max_length} printable characters")
 
 
 def as_number(path: str, value: Any, minimum: int, maximum: int) -> int:
@@ -59,7 +59,7 @@
     return value
 
 
-def no_others(path: str, fields: Iterable[str], known: Iterable[str]) -> None:
+def check_known_fields(path: str, fields: Iterable[str], known: Iterable[str]) -> None:
     """Check that all fields are known.
 
     Raises:
--- a/src/linkspan/config/document.py
+++ b/src/linkspan/config/document.py
@@ -7,7 +7,7 @@
 from dataclasses import fields as dataclass_fields
 from typing import Any, TypeAlias
 
-from linkspan._fields import as_number, as_object, as_text, no_others
+from linkspan._fields import as_number, as_object, as_text, check_known_fields
 from linkspan.errors import InvalidInput
 from linkspan.model.resources import NO_RESOURCES, Resources
 from linkspan.selectors.selector import parse_selector
@@ -68,7 +68,7 @@
 """Valid fields of a ``services/`` value."""
 
 
-def service_of(name: str, value: Any) -> ServiceConfig:
+def parse_service(name: str, value: Any) -> ServiceConfig:
     """Return the service that a ``services/`` value describes.
 
     Raises:
@@ -76,7 +76,7 @@
     """
     path = f"services/{name}"
     fields = as_object(path, value)
-    no_others(path, fields, SERVICE_FIELDS)
+    check_known_fields(path, fields, SERVICE_FIELDS)
     customer = as_text(f"services/{name}/customer", fields.get("customer", None))
     numbers = {
         key: as_number(f"services/{name}/{key}", fields.get(key, default), 1, maximum)
@@ -89,34 +89,34 @@
         )
     }
     replicas = as_number(f"{path}/replicas", fields.get("replicas", 0), 0, 10_000)
-    size = resources_of(f"{path}/size", fields.get("size", {}))
+    size = parse_resources(f"{path}/size", fields.get("size", {}))
     if replicas and not (size.milli_cpu and size.memory_mb):
         raise InvalidInput(f"{path}/size", "replicas need a size", "give milli_cpu and memory_mb")
     selector = fields.get("selector", "")
     parse_selector(as_text(f"{path}/selector", selector or "any"))
-    labels = labels_of(f"{path}/labels", fields.get("labels", {}))
+    labels = parse_labels(f"{path}/labels", fields.get("labels", {}))
     return ServiceConfig(
         name, customer, **numbers, replicas=replicas, size=size, selector=selector, labels=labels
     )
 
 
-def quota_of(team: str, value: Any) -> Resources:
+def parse_quota(team: str, value: Any) -> Resources:
     """Return the resources that a ``quotas/`` value describes.
 
     Raises:
         InvalidInput: The value is invalid.
     """
-    return resources_of(f"quotas/{team}", value)
+    return parse_resources(f"quotas/{team}", value)
 
 
-def resources_of(path: str, value: Any) -> Resources:
+def parse_resources(path: str, value: Any) -> Resources:
     """Return the resources that a mapping describes.
 
     Raises:
         InvalidInput: The value is invalid.
     """
     fields = as_object(path, value)
-    no_others(path, fields, Resources._fields)
+    check_known_fields(path, fields, Resources._fields)
     return Resources(
         as_number(f"{path}/milli_cpu", fields.get("milli_cpu", 0), 0, 2**31),
         as_number(f"{path}/memory_mb", fields.get("memory_mb", 0), 0, 2**31),
@@ -124,7 +124,7 @@
     )
 
 
-def labels_of(path: str, value: Any) -> dict[str, str]:
+def parse_labels(path: str, value: Any) -> dict[str, str]:
     """Return the labels that a mapping describes.
 
     Raises:
@@ -134,7 +134,7 @@
     return {as_text(path, key): as_text(f"{path}/{key}", text) for key, text in fields.items()}
 
 
-def anti_affinity_of(name: str, value: Any) -> AntiAffinityRule:
+def parse_anti_affinity(name: str, value: Any) -> AntiAffinityRule:
     """Return the rule that a ``company/`` value describes.
 
     Raises:
@@ -142,7 +142,7 @@
     """
     path = f"company/{name}"
     fields = as_object(path, value)
-    no_others(path, fields, ("work", "never_with"))
+    check_known_fields(path, fields, ("work", "never_with"))
     return AntiAffinityRule(
         as_text(f"{path}/work", fields.get("work", None)),
         as_text(f"{path}/never_with", fields.get("never_with", None)),
--- a/src/linkspan/config/store.py
+++ b/src/linkspan/config/store.py
@@ -160,7 +160,7 @@
                 f"changed since version {change.base}; read these keys and submit the change again"
             )
             return ChangeResult(False, self.version, reason, tuple(conflicts))
-        document = merged(state.document, change)
+        document = apply_change(state.document, change)
         errors = errors_in(document)
         if errors:
             return ChangeResult(False, self.version, f"{errors[0].key}: {errors[0].text}")
@@ -173,7 +173,7 @@
         return ChangeResult(True, version)
 
 
-def merged(document: Document, change: Change) -> dict[str, Any]:
+def apply_change(document: Document, change: Change) -> dict[str, Any]:
     """Return a copy of the document with the change applied."""
     values = {**document, **change.values}
     for key in change.deleted:
--- a/src/linkspan/config/validate.py
+++ b/src/linkspan/config/validate.py
@@ -5,7 +5,13 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from linkspan.config.document import SECTIONS, anti_affinity_of, labels_of, quota_of, service_of
+from linkspan.config.document import (
+    SECTIONS,
+    parse_anti_affinity,
+    parse_labels,
+    parse_quota,
+    parse_service,
+)
 from linkspan.errors import InvalidInput, SelectorSyntaxError
 from linkspan.placement.placers import PLACERS
 from linkspan.routing.pickers import PICKERS
@@ -64,19 +70,19 @@
 
 
 def _check_service(name: str, value: Any) -> Iterator[Finding]:
-    service = service_of(name, value)
+    service = parse_service(name, value)
     if service.deadline_ms > service.max_deadline_ms:
         text = "deadline_ms exceeds max_deadline_ms; lower deadline_ms or raise max_deadline_ms"
         yield Finding(f"services/{name}", text, True)
 
 
 def _check_labels(name: str, value: Any) -> Iterator[Finding]:
-    labels_of(f"labels/{name}", value)
+    parse_labels(f"labels/{name}", value)
     yield from ()
 
 
 def _check_anti_affinity(name: str, value: Any) -> Iterator[Finding]:
-    rule = anti_affinity_of(name, value)
+    rule = parse_anti_affinity(name, value)
     for text in (rule.work, rule.never_with):
         key = parse_selector(text).contradiction()
         if key:
@@ -85,7 +91,7 @@
 
 
 def _check_quota(name: str, value: Any) -> Iterator[Finding]:
-    quota = quota_of(name, value)
+    quota = parse_quota(name, value)
     if not quota.milli_cpu or not quota.memory_mb:
         text = (
             "the quota lacks processors or memory, so the team can run nothing; raise or delete it"
--- a/src/linkspan/gateway/daemon.py
+++ b/src/linkspan/gateway/daemon.py
@@ -51,7 +51,7 @@
         proxy = Proxy(node, router, claimer)
         node.complete_heartbeat = self._describe
         node.heartbeats.subscribe(router.on_beat)
-        node.gone.subscribe(router.on_gone)
+        node.disconnected_addresses.subscribe(router.on_gone)
         node.host_lists.subscribe(router.on_hosts)
         node.config_states.subscribe(router.on_config)
         node.spawn(router.run())
--- a/src/linkspan/gateway/job_request.py
+++ b/src/linkspan/gateway/job_request.py
@@ -8,8 +8,8 @@
 
 from expression import Error, Ok, Result
 
-from linkspan._fields import as_number, as_text, json_object, no_others
-from linkspan.config.document import labels_of, resources_of
+from linkspan._fields import as_number, as_text, check_known_fields, parse_json_object
+from linkspan.config.document import parse_labels, parse_resources
 from linkspan.errors import InvalidInput, LinkspanError, SelectorSyntaxError
 from linkspan.model.job import JobSpec, Priority
 from linkspan.scheduler.services import PREFIX as SERVICE_PREFIX
@@ -39,11 +39,11 @@
     if len(body) > MAX_JOB_BYTES:
         remedy = f"keep it to {MAX_JOB_BYTES}, with fewer or shorter labels"
         raise InvalidInput("body", f"{len(body)} bytes", remedy)
-    fields = json_object(body)
-    no_others("", fields, _FIELDS)
+    fields = parse_json_object(body)
+    check_known_fields("", fields, _FIELDS)
     selector = fields.get("selector", "")
     parse_selector(as_text("selector", selector) if selector != "" else "")
-    size = resources_of("size", fields.get("size"))
+    size = parse_resources("size", fields.get("size"))
     if not size.milli_cpu or not size.memory_mb:
         raise InvalidInput("size", "no processors or memory", "give milli_cpu and memory_mb")
     if str(fields.get("job_id", "")).startswith(SERVICE_PREFIX):
@@ -57,7 +57,7 @@
         size=size,
         priority=_priority(fields),
         repeatable=_flag(fields, "repeatable", True),
-        labels=labels_of("labels", fields.get("labels", {})),
+        labels=parse_labels("labels", fields.get("labels", {})),
         selector=selector,
         run_s=as_number("run_s", fields.get("run_s", 0), 0, 31_536_000),
     )
--- a/src/linkspan/gateway/jobs.py
+++ b/src/linkspan/gateway/jobs.py
@@ -127,7 +127,7 @@
         may_have_acted = False
         for address in self._schedulers(hall):
             try:
-                answer = await self._node.ask(address, message, timeout_s=self._timeout_s)
+                answer = await self._node.request(address, message, timeout_s=self._timeout_s)
             except ConnectionRefusedError:
                 continue
             except Unreachable:
--- a/src/linkspan/gateway/operators.py
+++ b/src/linkspan/gateway/operators.py
@@ -10,12 +10,12 @@
 
 from aiohttp import web
 
-from linkspan._fields import as_number, as_text, json_object, no_others
-from linkspan.config.store import CONFIG_STREAM, Change, ChangeResult, encode_change, merged
+from linkspan._fields import as_number, as_text, check_known_fields, parse_json_object
+from linkspan.config.store import CONFIG_STREAM, Change, ChangeResult, apply_change, encode_change
 from linkspan.config.validate import validate
 from linkspan.errors import InvalidInput, LogUnavailable
 from linkspan.events import Event
-from linkspan.runtime.operator_app import json_answer, problem
+from linkspan.runtime.operator_app import json_response, problem
 
 if TYPE_CHECKING:
     from linkspan.gateway.router import Router
@@ -51,7 +51,7 @@
     async def get_config(self, request: web.Request) -> web.Response:
         """Answer ``GET /config``."""
         state = self._node.config.state
-        return json_answer(  # type: ignore[no-any-return]
+        return json_response(  # type: ignore[no-any-return]
             {"version": state.version, "document": dict(state.document)}
         )
 
@@ -69,7 +69,7 @@
             change = parse_change(await request.read())
         except InvalidInput as error:
             return problem(400, "invalid_input", str(error), field=error.field)
-        document = merged(self._node.config.state.document, change)
+        document = apply_change(self._node.config.state.document, change)
         findings = [f for f in validate(document) if f.key in change.touched or f.is_error]
         if any(finding.is_error for finding in findings):
             listed = [finding._asdict() for finding in findings]
@@ -121,7 +121,7 @@
         ]
         listed = {h.address for h in node.host_lists.value if h.role in ("gateway", "scheduler")}
         heard = {peer.beat.address for peer in node.directory.live(now)} | {node.address}
-        return json_answer(  # type: ignore[no-any-return]
+        return json_response(  # type: ignore[no-any-return]
             {
                 "name": node.name,
                 "hall": node.settings.hall,
@@ -157,8 +157,8 @@
     Raises:
         InvalidInput: The body does not describe one.
     """
-    fields = json_object(body)
-    no_others("", fields, Change.__dataclass_fields__)
+    fields = parse_json_object(body)
+    check_known_fields("", fields, Change.__dataclass_fields__)
     values, deleted = fields.get("values", {}), fields.get("deleted", [])
     base = as_number("base", fields.get("base"), 0, 2**48)
     if not isinstance(values, Mapping):
@@ -167,8 +167,8 @@
         raise InvalidInput("deleted", "is no list of keys", "give the keys to remove")
     if not values and not deleted:
         raise InvalidInput("values", "nothing to change", "give values or deleted")
-    change_id = as_text("change_id", fields.get("change_id"), longest=128)
-    author = as_text("author", fields.get("author"), longest=128)
+    change_id = as_text("change_id", fields.get("change_id"), max_length=128)
+    author = as_text("author", fields.get("author"), max_length=128)
     return Change(change_id, base, author, dict(values), tuple(deleted))
 
 
@@ -180,4 +180,4 @@
         "conflicts": list(verdict.conflicts),
         "warnings": warnings,
     }
-    return json_answer(body, status=200 if verdict.accepted else 409)  # type: ignore[no-any-return]
+    return json_response(body, status=200 if verdict.accepted else 409)  # type: ignore[no-any-return]
--- a/src/linkspan/gateway/router.py
+++ b/src/linkspan/gateway/router.py
@@ -9,7 +9,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from linkspan.config.document import ServiceConfig, service_of
+from linkspan.config.document import ServiceConfig, parse_service
 from linkspan.peer.messages import Heard
 from linkspan.routing.pickers import PICKERS
 from linkspan.routing.pool import Assigned, Queued, Refused, ServicePool
@@ -122,7 +122,7 @@
         """Take over the services of a configuration."""
         document = state.document
         wanted: dict[str, ServiceConfig] = {
-            name: service_of(name, value)
+            name: parse_service(name, value)
             for key, value in document.items()
             for section, _, name in [key.partition("/")]
             if section == "services"
--- a/src/linkspan/placement/placer.py
+++ b/src/linkspan/placement/placer.py
@@ -9,7 +9,7 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from linkspan.config.document import anti_affinity_of, labels_of, quota_of
+from linkspan.config.document import parse_anti_affinity, parse_labels, parse_quota
 from linkspan.model.job import TaskId
 from linkspan.model.resources import Resources
 from linkspan.placement.policies import Candidate, FirstFit, Policy
@@ -69,11 +69,11 @@
     for key, value in document.items():
         section, _, name = key.partition("/")
         if section == "quotas":
-            quotas[name] = quota_of(name, value)
+            quotas[name] = parse_quota(name, value)
         elif section == "labels":
-            labels[name] = labels_of(key, value)
+            labels[name] = parse_labels(key, value)
         elif section == "company":
-            rule = anti_affinity_of(name, value)
+            rule = parse_anti_affinity(name, value)
             company.append((parse_selector(rule.work), parse_selector(rule.never_with)))
     return PlacementRules(quotas, tuple(company), labels)
 
--- a/src/linkspan/runtime/node.py
+++ b/src/linkspan/runtime/node.py
@@ -63,7 +63,7 @@
         self.config_states: BehaviorSubject[ConfigState] = BehaviorSubject(self.config.state)
         self.host_lists: BehaviorSubject[tuple[Host, ...]] = BehaviorSubject(())
         self.heartbeats: Subject[Heartbeat] = Subject()
-        self.gone: Subject[str] = Subject()
+        self.disconnected_addresses: Subject[str] = Subject()
         self.draining = False
         self.session: aiohttp.ClientSession
         self.log: LogPort
@@ -111,7 +111,7 @@
         self._crashed = True
         self._stop.set()
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Start a planned stop; repeated calls have no effect."""
         if not self._stop.is_set():
             self.draining = True
@@ -122,7 +122,7 @@
         """Wait until a planned stop is requested or a task fails."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.ask_to_stop)
+            loop.add_signal_handler(number, self.request_stop)
         await self._stop.wait()
 
     async def close(self) -> int:
@@ -146,7 +146,7 @@
         """Respond to messages of a type with the handler's result."""
         self._handlers[kind] = handler
 
-    async def ask(self, address: str, message: Message, *, timeout_s: float) -> Message:
+    async def request(self, address: str, message: Message, *, timeout_s: float) -> Message:
         """Send a request to a peer and return its response.
 
         Raises:
@@ -177,7 +177,7 @@
 
     async def _fetch_config_from(self, address: str) -> None:
         try:
-            response = await self.ask(address, FetchConfig(), timeout_s=2.0)
+            response = await self.request(address, FetchConfig(), timeout_s=2.0)
             if isinstance(response, ConfigAnswer) and self.config.adopt(response.state):
                 self.events.write(Event.CONFIG_FROM_PEER, version=self.config.version)
                 self._publish_config()
@@ -235,7 +235,7 @@
         for peer in self.directory.all():
             if peer.beat.address == address:
                 self.directory.drop(peer.beat.name)
-        self.gone.on_next(address)
+        self.disconnected_addresses.on_next(address)
 
     # Host list.
 
--- a/src/linkspan/runtime/operator_app.py
+++ b/src/linkspan/runtime/operator_app.py
@@ -20,7 +20,7 @@
 """Maximum size of a request body from an operator."""
 
 
-def json_answer(value: Any, *, status: int = 200, headers: dict[str, str] | None = None) -> Any:
+def json_response(value: Any, *, status: int = 200, headers: dict[str, str] | None = None) -> Any:
     """Return an HTTP response with a value as JSON."""
     body = orjson.dumps(value, default=list, option=orjson.OPT_INDENT_2)
     return web.Response(body=body, status=status, content_type="application/json", headers=headers)
@@ -31,7 +31,7 @@
 ) -> web.Response:
     """Return an error response with the kind of error and a text that names its remedy."""
     headers = {} if retry_after_s is None else {"Retry-After": str(retry_after_s)}
-    response: web.Response = json_answer(
+    response: web.Response = json_response(
         {"error": kind, "message": text, **more}, status=status, headers=headers
     )
     return response
@@ -70,8 +70,8 @@
         return web.Response(body=body, headers=headers)
 
     async def drain(request: web.Request) -> web.Response:
-        node.ask_to_stop()
-        return json_answer({"draining": True})  # type: ignore[no-any-return]
+        node.request_stop()
+        return json_response({"draining": True})  # type: ignore[no-any-return]
 
     app = web.Application(client_max_size=MAX_OPERATOR_BODY_BYTES, middlewares=[check_token])
     app.router.add_get("/healthz", health)
--- a/src/linkspan/scheduler/daemon.py
+++ b/src/linkspan/scheduler/daemon.py
@@ -19,7 +19,7 @@
 from linkspan.placement.placers import DEFAULT_PLACER, PLACERS
 from linkspan.runtime.log_tail import LogTail
 from linkspan.runtime.node import Node, split_address
-from linkspan.runtime.operator_app import json_answer, listen, make_operator_app
+from linkspan.runtime.operator_app import json_response, listen, make_operator_app
 from linkspan.scheduler.append_budget import AppendBudget
 from linkspan.scheduler.core import SchedulerCore, Step
 from linkspan.scheduler.history import History
@@ -314,10 +314,10 @@
 
     async def _status(self, request: web.Request) -> web.Response:
         if self._core is None:
-            return json_answer({"state": "starting"})  # type: ignore[no-any-return]
+            return json_response({"state": "starting"})  # type: ignore[no-any-return]
         version = self._node.config.version
         value = status_of(self._core, time.monotonic(), config_version=version)
-        return json_answer(value)  # type: ignore[no-any-return]
+        return json_response(value)  # type: ignore[no-any-return]
 
     def _describe(self, beat: Heartbeat) -> Heartbeat:
         core = self._core
--- a/src/linkspan/scheduler/services.py
+++ b/src/linkspan/scheduler/services.py
@@ -6,7 +6,7 @@
 
 from xxhash import xxh3_64_hexdigest
 
-from linkspan.config.document import service_of
+from linkspan.config.document import parse_service
 from linkspan.ledger.codec import job_to_json
 from linkspan.ledger.records import Cancelled, Submitted
 from linkspan.model.job import JobSpec, Priority
@@ -32,7 +32,7 @@
     wanted: dict[str, JobSpec] = {}
     for key, value in document.items():
         if key.startswith("services/"):
-            service = service_of(key.removeprefix("services/"), value)
+            service = parse_service(key.removeprefix("services/"), value)
             count = _part(service.replicas, halls or [hall], hall)
             if count:
                 spec = _job(service, count)
--- a/tests/soak/test_planned_stop.py
+++ b/tests/soak/test_planned_stop.py
@@ -28,7 +28,7 @@
         await world.await_ready(START_LIMIT_S)
         callers = Callers(Random(7), world.callers_at, world.executors, world.session)
         await callers.submit(callers.draw_job(calm=True), Random(7))
-        await world.store.tell("server", {"delay_s": SLOW_S})
+        await world.store.send_command("server", {"delay_s": SLOW_S})
         keepers = [
             asyncio.create_task(
                 PersistentCaller(Random(n), hosts[n % 2], world, callers, stats).run()
