--- a/src/linkspan/gateway/daemon.py
+++ b/src/linkspan/gateway/daemon.py
@@ -100,7 +100,7 @@
             reasons.append("draining")
         if not self._node.config.version:
             reasons.append("no configuration read yet")
-        if self._router is None or not self._router.shares.is_settled:
+        if self._router is None or not self._router.shares.is_confirmed:
             reasons.append("slots not divided with the other gateways yet")
         return reasons
 
--- a/src/linkspan/gateway/proxy.py
+++ b/src/linkspan/gateway/proxy.py
@@ -196,8 +196,8 @@
         pool.retries.earn()
         entered = await self._router.enter(pool, call.left())
         if isinstance(entered, Refused):
-            text = f"not run: {entered.why.value}; come back after {entered.retry_after_s} s"
-            kind = entered.why.name.lower()
+            text = f"not run: {entered.reason.value}; come back after {entered.retry_after_s} s"
+            kind = entered.reason.name.lower()
             return self._refuse(pool, kind, text, 503, entered.retry_after_s)
         if not call.terms.key:
             return (await self._dispatch(call, entered.executor)).answer
--- a/src/linkspan/gateway/router.py
+++ b/src/linkspan/gateway/router.py
@@ -88,7 +88,7 @@
     def _give_back(
         self, pool: ServicePool, ticket: int, turn: asyncio.Future[Assigned | Refused]
     ) -> None:
-        pool.abandon(ticket)
+        pool.remove_queued(ticket)
         if turn.done() and not turn.cancelled():
             result = turn.result()
             if isinstance(result, Assigned):
--- a/src/linkspan/routing/__init__.py
+++ b/src/linkspan/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which executor gets which request, within what slots and deadlines allow."""
+"""Request routing: assigns callers' requests to executors within slot and deadline limits."""
--- a/src/linkspan/routing/budget.py
+++ b/src/linkspan/routing/budget.py
@@ -1,22 +1,24 @@
-"""Budgets that keep retries and hedges a small part of the traffic."""
+"""A budget that limits retries and hedged requests to a small share of the traffic."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """Allows extra requests as a part of the first ones.
+    """Limits extra requests to a ratio of the original requests.
 
-    The same bound as a token bucket that each first request fills a little, so
-    that a full outage multiplies the load by no more than ``1 + ratio``.
+    Implemented as a token bucket to which each original request adds ``ratio``
+    tokens. During a full outage the load grows by a factor of at most ``1 + ratio``.
 
     Args:
-        ratio: Extra requests allowed for each first one.
-        burst: Extra requests that may be saved up.
+        ratio: Extra requests allowed per original request.
+        burst: Capacity of the token bucket, in extra requests.
 
     Example:
         >>> budget = RetryBudget(ratio=0.5, burst=1)
-        >>> [budget.spend(), budget.earn(), budget.earn(), budget.spend(), budget.spend()]
-        [False, None, None, True, False]
+        >>> [budget.try_withdraw(), budget.earn(), budget.earn()]
+        [False, None, None]
+        >>> [budget.try_withdraw(), budget.try_withdraw()]
+        [True, False]
     """
 
     def __init__(self, *, ratio: float = 0.1, burst: float = 10.0) -> None:
@@ -28,11 +30,11 @@
         return f"RetryBudget(tokens={self._tokens:.1f})"
 
     def earn(self) -> None:
-        """Count a first request."""
+        """Add the tokens of one original request."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def spend(self) -> bool:
-        """Return whether an extra request is allowed, and count it."""
+    def try_withdraw(self) -> bool:
+        """Take one token for an extra request; return whether one was available."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/linkspan/routing/claims.py
+++ b/src/linkspan/routing/claims.py
@@ -1,4 +1,4 @@
-"""At most one dispatch for each request that must not be repeated."""
+"""Claims on a shared log that allow at most one dispatch per non-repeatable request."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 import orjson
 
 CLAIMS_STREAM = "claims"
-"""Name of the stream on the platform's log."""
+"""Name of the claims stream on the platform's log."""
 
-CLAIMS_KEPT = 16_384
-"""Claims that are remembered; a key that is older may be claimed again."""
+MAX_REMEMBERED_CLAIMS = 16_384
+"""Limits the claims in memory; a key whose claim was evicted may be claimed again."""
 
-WINDOW = 10_000
-"""A claim that lands this many offsets after its writer's reading is ignored."""
+MAX_CLAIM_AGE_OFFSETS = 10_000
+"""Limits how far a claim's offset may be past ``read_offset``; later claims are ignored."""
 
 
 class Claim(NamedTuple):
-    """A gateway's wish to dispatch a request.
+    """A gateway's claim of the right to dispatch a request.
 
     Attributes:
-        key: The request's idempotency key, with its service.
-        gateway: The gateway.
-        nonce: Tells this arrival from others of the same key there.
-        read_offset: First offset that the gateway had not read.
-        is_release: Whether it gives the right back, the request surely not sent.
+        key: Service name and idempotency key of the request.
+        gateway: Name of the claiming gateway.
+        nonce: Distinguishes requests with the same key at the same gateway.
+        read_offset: First offset that the gateway had not read when it claimed.
+        is_release: Whether the record releases the claim because the request was not sent.
     """
 
     key: str
@@ -36,7 +36,7 @@
 
 
 class ClaimRegister:
-    """The fold over the claims stream: the first claim of a key wins."""
+    """State built from the claims stream; the first claim of each key wins."""
 
     def __init__(self) -> None:
         self.next_offset = 0
@@ -46,39 +46,39 @@
         return f"ClaimRegister(next_offset={self.next_offset}, claims={len(self._winners)})"
 
     def apply(self, offset: int, body: bytes) -> None:
-        """Fold in the record at ``offset``, which holds a group of claims."""
+        """Apply the record at ``offset``, which holds a batch of claims."""
         if offset < self.next_offset:
             return
         self.next_offset = offset + 1
         for claim in decode_claims(body):
             if claim.is_release:
                 self._release(claim)
-            elif offset - claim.read_offset <= WINDOW:
+            elif offset - claim.read_offset <= MAX_CLAIM_AGE_OFFSETS:
                 self._winners.setdefault(claim.key, claim)
-        while len(self._winners) > CLAIMS_KEPT:
+        while len(self._winners) > MAX_REMEMBERED_CLAIMS:
             self._winners.popitem(last=False)
 
     def _release(self, claim: Claim) -> None:
-        """Free a key; only the arrival that holds it can."""
+        """Release a key, provided that the released claim is the one that won it."""
         if self._winners.get(claim.key) == claim._replace(is_release=False):
             del self._winners[claim.key]
 
     def winner(self, key: str) -> Claim | None:
-        """Return the claim that won the key, None while there is none."""
+        """Return the claim that won ``key``, or None if no claim has."""
         return self._winners.get(key)
 
 
 def encode_claims(claims: list[Claim]) -> bytes:
-    """Return the record that holds these claims."""
+    """Encode claims as the body of one log record."""
     return orjson.dumps([list(claim) for claim in claims])
 
 
 def decode_claims(body: bytes) -> list[Claim]:
-    """Return the claims of a record, none if it is damaged."""
+    """Decode the claims of a log record; a malformed record yields an empty list."""
     try:
         return [
-            Claim(str(key), str(gateway), int(nonce), int(read), bool(is_release))
-            for key, gateway, nonce, read, is_release in orjson.loads(body)
+            Claim(str(key), str(gateway), int(nonce), int(read_offset), bool(is_release))
+            for key, gateway, nonce, read_offset, is_release in orjson.loads(body)
         ]
     except (TypeError, ValueError):
         return []
--- a/src/linkspan/routing/pickers.py
+++ b/src/linkspan/routing/pickers.py
@@ -1,4 +1,4 @@
-"""The registry of ways to pick among executors that have a free slot."""
+"""Load-balancing policies that pick one of the executors with a free slot."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     from random import Random
 
 
-class Choice(NamedTuple):
+class Candidate(NamedTuple):
     """An executor that may take a request.
 
     Attributes:
-        name: The executor.
-        in_flight: This gateway's requests at it.
-        share: Slots of it that this gateway may use, more than ``in_flight``.
-        latency_s: Learnt latency in seconds, 0 before the first answer.
+        name: Name of the executor.
+        in_flight: Requests that this gateway has in flight at the executor.
+        share: Slots that this gateway may use there; always more than ``in_flight``.
+        latency_s: Smoothed latency in seconds, 0 before the first answer.
     """
 
     name: str
@@ -28,56 +28,65 @@
 
 
 class Picker(Protocol):
-    """Picks an executor."""
+    """Policy that picks an executor for a request."""
 
-    def pick(self, choices: Sequence[Choice], random: Random) -> Choice:
-        """Return one of the choices, of which there is at least one."""
+    def pick(self, candidates: Sequence[Candidate], random: Random) -> Candidate:
+        """Return one of ``candidates``, which is not empty."""
 
 
 PICKERS: Registry[Picker] = Registry("routing")
-"""Pickers by the name that configuration uses."""
+"""Pickers by their name in the configuration."""
 
 
 @PICKERS.register("round_robin")
 class RoundRobin:
-    """Each in turn, whatever its load: the plain static share."""
+    """Picks executors in turn by name, regardless of load."""
 
     def __init__(self) -> None:
         self._last = ""
 
-    def pick(self, choices: Sequence[Choice], random: Random) -> Choice:
-        """Return the first choice by name after the last one picked."""
-        ordered = sorted(choices)
-        chosen = next((c for c in ordered if c.name > self._last), ordered[0])
+    def pick(self, candidates: Sequence[Candidate], random: Random) -> Candidate:
+        """Return the next candidate by name after the last one picked."""
+        ordered = sorted(candidates)
+        chosen = next(
+            (candidate for candidate in ordered if candidate.name > self._last), ordered[0]
+        )
         self._last = chosen.name
         return chosen
 
 
 @PICKERS.register("two_choices")
 class TwoChoices:
-    """The less loaded of two at random (Mitzenmacher, 2001)."""
+    """Picks the less loaded of two random executors (Mitzenmacher, 2001)."""
 
-    def pick(self, choices: Sequence[Choice], random: Random) -> Choice:
-        """Return the less loaded of two."""
-        pair = random.sample(choices, 2) if len(choices) > 1 else choices
-        return min(pair, key=lambda c: c.in_flight / c.share)
+    def pick(self, candidates: Sequence[Candidate], random: Random) -> Candidate:
+        """Return the less loaded of two random candidates."""
+        pair = random.sample(candidates, 2) if len(candidates) > 1 else candidates
+        return min(pair, key=lambda candidate: candidate.in_flight / candidate.share)
 
 
 @PICKERS.register("least_loaded")
 class LeastLoaded:
-    """The one with the smallest used part of this gateway's share."""
+    """Picks the executor where this gateway uses the smallest fraction of its share."""
 
-    def pick(self, choices: Sequence[Choice], random: Random) -> Choice:
-        """Return the least loaded, one at random among equals."""
-        return min(choices, key=lambda c: (c.in_flight / c.share, random.random()))
+    def pick(self, candidates: Sequence[Candidate], random: Random) -> Candidate:
+        """Return the least loaded candidate; ties are broken at random."""
+        return min(
+            candidates,
+            key=lambda candidate: (candidate.in_flight / candidate.share, random.random()),
+        )
 
 
 @PICKERS.register("shortest_wait")
 class ShortestWait:
-    """The one that should answer first, by learnt latency and load."""
+    """Picks the executor with the shortest expected response time."""
 
-    def pick(self, choices: Sequence[Choice], random: Random) -> Choice:
-        """Return the choice with the least latency times load."""
+    def pick(self, candidates: Sequence[Candidate], random: Random) -> Candidate:
+        """Return the candidate with the smallest product of smoothed latency and load."""
         return min(
-            choices, key=lambda c: (c.latency_s * (1 + c.in_flight / c.share), random.random())
+            candidates,
+            key=lambda candidate: (
+                candidate.latency_s * (1 + candidate.in_flight / candidate.share),
+                random.random(),
+            ),
         )
--- a/src/linkspan/routing/pool.py
+++ b/src/linkspan/routing/pool.py
@@ -1,4 +1,7 @@
-"""One service's executors, queue and limits at one gateway; pure of sockets."""
+"""Executors, queue and admission limits of one service at one gateway.
+
+The pool does no I/O: the caller passes in the time and carries out the assignments.
+"""
 
 from __future__ import annotations
 
@@ -12,36 +15,44 @@
 from linkspan.routing.breaker import Breaker
 from linkspan.routing.budget import RetryBudget
 from linkspan.routing.drain_rate import DrainRate
-from linkspan.routing.pickers import Choice, LeastLoaded, Picker
+from linkspan.routing.pickers import Candidate, LeastLoaded, Picker
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator, Mapping
 
     from linkspan.config.document import ServiceConfig
 
-SMOOTHING = 0.1
-"""Weight of the latest latency in an executor's learnt one."""
+LATENCY_WEIGHT = 0.1
+"""Weight of the latest answer in an executor's exponentially smoothed latency."""
+
+MAX_EJECTED_FRACTION = 0.5
+"""Limits the fraction of executors that circuit breakers may exclude at the same time.
+
+Beyond this fraction all executors are used, because so many failures at once are no
+reliable sign that the executors themselves are at fault."""
 
-MAX_EJECTED = 0.5
-"""Part of the executors that may be set aside at once."""
+MIN_LATENCY_SAMPLES = 4
+"""Answers required before the expected latency may cause a request to be refused.
 
-MIN_ANSWERS = 4
-"""Answers before the learnt latency may refuse a request. The first answer of a fresh
-connection took up to three times as long as the next ones (326 and 108 ms, measured beside
-busy processes); in a mean of four that leaves half too much, which the margins bear."""
+The first answer over a new connection takes up to three times as long as later ones
+(326 ms and 108 ms on a busy machine). A mean over four answers is then about 50 % too
+high, which the deadline check tolerates."""
 
-SERVICE_MARGIN = 2.5
-"""Mean latencies that are reckoned for an answer, so that slow ones make it too."""
+SERVICE_TIME_FACTOR = 2.5
+"""Multiplier of the mean latency in the deadline check; leaves time for slow answers."""
 
-WAIT_MARGIN = 1.25
-"""What the reckoned wait for a slot is multiplied by."""
+QUEUE_WAIT_FACTOR = 1.25
+"""Multiplier of the expected queueing time in the deadline check."""
 
 MAX_RETRY_AFTER_S = 30
-"""Longest time that a refused caller is told to wait."""
+"""Limits the retry delay that a refused caller receives."""
 
 
 class Refusal(Enum):
-    """Why a request was refused; none of these ever reached an executor."""
+    """Reason for refusing a request that was never sent to an executor.
+
+    Names and values are part of the HTTP answer to the caller.
+    """
 
     QUEUE_FULL = "the queue is full"
     TOO_LATE = "it could not be answered before its deadline"
@@ -49,52 +60,52 @@
 
 
 class Assigned(NamedTuple):
-    """The request goes to this executor now."""
+    """The request is assigned to an executor and occupies one of its slots."""
 
     ticket: int
     executor: str
 
 
 class Refused(NamedTuple):
-    """The request is given up, with the seconds after which to come back."""
+    """The request is refused; the caller may retry after ``retry_after_s`` seconds."""
 
     ticket: int
-    why: Refusal
+    reason: Refusal
     retry_after_s: int
 
 
 class Queued(NamedTuple):
-    """The request waits for a slot."""
+    """The request is queued until a slot is free."""
 
     ticket: int
 
 
 @dataclass(slots=True)
 class Executor:
-    """What this gateway knows of an executor.
+    """State of an executor as this gateway sees it.
 
     Attributes:
-        name: The executor.
-        address: ``ip:port`` where it serves.
-        leaving: Whether it is to get no new requests.
-        in_flight: This gateway's requests at it.
-        answers: Whole answers that it gave.
-        latency_s: Learnt latency in seconds, 0 before the first answer.
-        breaker: Sets it aside after failures.
+        name: Name of the executor.
+        address: ``ip:port`` at which the executor serves requests.
+        leaving: Whether the executor gets no new requests.
+        in_flight: Requests that this gateway has in flight at the executor.
+        answer_count: Complete answers received from the executor.
+        latency_s: Smoothed latency in seconds, 0 before the first answer.
+        breaker: Excludes the executor for a time after repeated failures.
     """
 
     name: str
     address: str
     leaving: bool = False
     in_flight: int = 0
-    answers: int = 0
+    answer_count: int = 0
     latency_s: float = 0.0
     breaker: Breaker = field(default_factory=Breaker)
 
-    def learn(self, latency_s: float) -> None:
-        """Take in an answer's latency: the mean at first, then with a fixed weight."""
-        self.answers += 1
-        weight = max(SMOOTHING, 1 / self.answers)
+    def record_latency(self, latency_s: float) -> None:
+        """Update the smoothed latency: a plain mean at first, then with a fixed weight."""
+        self.answer_count += 1
+        weight = max(LATENCY_WEIGHT, 1 / self.answer_count)
         self.latency_s += weight * (latency_s - self.latency_s)
 
 
@@ -103,10 +114,10 @@
 
     Args:
         service: The service's limits.
-        share: Returns how many slots of an executor may be used now, by the
-            executor's name, its slots and the time.
-        picker: Picks among executors with a free slot.
-        rng: Source of chance, seeded in tests.
+        share: Takes an executor's name, its slot count and the time, and returns
+            how many of the slots this gateway may use.
+        picker: Policy that picks among executors with a free slot.
+        rng: Random number generator; tests pass a seeded one.
     """
 
     def __init__(
@@ -123,7 +134,7 @@
         self._share = share
         self._picker: Picker = picker or LeastLoaded()
         self._random = rng or random.Random()
-        self._drain = DrainRate()
+        self._drain_meter = DrainRate()
         self._queue: OrderedDict[int, float] = OrderedDict()
 
     def __repr__(self) -> str:
@@ -134,33 +145,33 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are at executors."""
+        """Number of requests in flight at executors."""
         return sum(executor.in_flight for executor in self.executors.values())
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     @property
     def has_executor(self) -> bool:
-        """Whether an executor is there that is not leaving."""
+        """Whether at least one executor is not leaving."""
         return any(not executor.leaving for executor in self.executors.values())
 
     def configure(self, service: ServiceConfig, picker: Picker) -> None:
-        """Take over a changed configuration."""
+        """Apply a changed configuration."""
         self.service = service
         self._picker = picker
 
     def set_executors(self, addresses: Mapping[str, str], leaving: frozenset[str]) -> None:
-        """Take over the list of executors.
+        """Replace the list of executors.
 
-        One that is not listed any more gets nothing new, and is dropped once
-        its requests are done.
+        An executor that is no longer listed gets no new requests and is removed
+        once it has no requests in flight.
 
         Args:
-            addresses: ``ip:port`` by executor.
-            leaving: Executors that are to get nothing new.
+            addresses: ``ip:port`` by executor name.
+            leaving: Names of executors that get no new requests.
         """
         for name, address in addresses.items():
             known = self.executors.get(name)
@@ -174,16 +185,16 @@
                 del self.executors[name]
 
     def fits_shares(self, now: float) -> bool:
-        """Return whether no executor has more of our requests than our share."""
+        """Return whether this gateway's requests fit its share at every executor."""
         slots = self.service.slots
         return all(e.in_flight <= self._share(e.name, slots, now) for e in self.executors.values())
 
     def arrive(self, ticket: int, deadline: float, now: float) -> Assigned | Queued | Refused:
-        """Take in a request.
+        """Assign, queue or refuse a new request.
 
         Args:
-            ticket: Number that names it here.
-            deadline: Time in seconds by which its answer is of use.
+            ticket: Number that identifies the request in this pool.
+            deadline: Time in seconds until which the caller can use an answer.
             now: Time in seconds.
         """
         if not self._queue:
@@ -200,73 +211,81 @@
         return Queued(ticket)
 
     def again(self, avoid: str, now: float) -> str | None:
-        """Return an executor for a retry or hedge, if one is free and allowed.
+        """Assign a retry or hedged request to another executor.
+
+        Returns None if requests are queued, no other executor has a free slot, or
+        the retry budget is exhausted.
 
         Args:
-            avoid: The executor that it must differ from.
+            avoid: The executor that must not be used again.
             now: Time in seconds.
         """
         if self._queue:
             return None
         executor = self._pick(now, avoid=avoid)
-        if executor is None or not self.retries.spend():
+        if executor is None or not self.retries.try_withdraw():
             return None
         return self._assign(0, executor).executor
 
     def expected_wait(self, now: float) -> float:
-        """Return the seconds that a request arriving now should wait and be served.
+        """Return the expected queueing and service time of a new request, in seconds.
 
-        0 while too little is known to refuse anybody.
+        Returns 0 while too few answers are known to refuse a request on their basis.
         """
-        if 0 < sum(e.answers for e in self.executors.values()) < MIN_ANSWERS:
+        if 0 < sum(e.answer_count for e in self.executors.values()) < MIN_LATENCY_SAMPLES:
             return 0.0
         latencies = [e.latency_s for e in self.executors.values() if e.latency_s]
-        service_s = SERVICE_MARGIN * sum(latencies) / len(latencies) if latencies else 0.0
+        service_s = SERVICE_TIME_FACTOR * sum(latencies) / len(latencies) if latencies else 0.0
         rate = self._drain_rate(now, latencies)
-        return WAIT_MARGIN * (len(self._queue) + 1) / rate + service_s if rate else service_s
+        return QUEUE_WAIT_FACTOR * (len(self._queue) + 1) / rate + service_s if rate else service_s
 
     def _drain_rate(self, now: float, latencies: list[float]) -> float:
-        """Return requests a second, 0 when not known.
+        """Return the expected completions per second, or 0 if unknown.
 
-        Answers that came in a burst make the measured rate too high, so it is
-        bounded by what our slots can do at the learnt latencies (Little, 1961).
+        Answers that arrive in a burst make the measured rate too high. The rate is
+        therefore limited to the throughput that this gateway's slots reach at the
+        smoothed latencies (Little, 1961).
         """
-        measured = self._drain.per_second(now)
+        measured = self._drain_meter.per_second(now)
         if not latencies:
             return measured
-        slots = sum(self._share(e.name, self.service.slots, now) for e in self._usable(now))
-        limit = slots * len(latencies) / sum(latencies)
+        usable_slots = sum(self._share(e.name, self.service.slots, now) for e in self._usable(now))
+        limit = usable_slots * len(latencies) / sum(latencies)
         return min(measured, limit) if measured else limit
 
-    def abandon(self, ticket: int) -> None:
-        """Drop a waiting request whose caller went away."""
+    def remove_queued(self, ticket: int) -> None:
+        """Remove a queued request whose caller has disconnected."""
         self._queue.pop(ticket, None)
 
     def answered(self, executor: str, latency_s: float, now: float) -> None:
-        """Note a whole answer after ``latency_s`` seconds, freeing the slot."""
-        found = self._free(executor, now)
-        if found is None:
+        """Record a complete answer after ``latency_s`` seconds and release the slot."""
+        executor_state = self._release_slot(executor, now)
+        if executor_state is None:
             return
-        found.breaker.succeed()
-        found.learn(latency_s)
+        executor_state.breaker.record_success()
+        executor_state.record_latency(latency_s)
 
     def failed(self, executor: str, now: float) -> bool:
-        """Note a failure of the executor, freeing the slot.
+        """Record a failed request and release the slot.
 
         Returns:
-            Whether the executor is set aside from now on.
+            Whether the failure opened the executor's circuit breaker.
         """
-        found = self._free(executor, now)
-        return found is not None and found.breaker.fail(now)
+        executor_state = self._release_slot(executor, now)
+        return executor_state is not None and executor_state.breaker.record_failure(now)
 
     def dropped(self, executor: str, now: float) -> None:
-        """Note that the caller gave up, freeing the slot."""
-        found = self._free(executor, now)
-        if found is not None:
-            found.breaker.abandon()
+        """Record a request without a result, for example after a disconnect; release the slot."""
+        executor_state = self._release_slot(executor, now)
+        if executor_state is not None:
+            executor_state.breaker.record_abandoned()
 
     def drain(self, now: float) -> Iterator[Assigned | Refused]:
-        """Yield what becomes of waiting requests at this time, in seconds."""
+        """Refuse queued requests past their deadline, then assign the others to free slots.
+
+        Args:
+            now: Time in seconds.
+        """
         late = [ticket for ticket, deadline in self._queue.items() if deadline <= now]
         for ticket in late:
             del self._queue[ticket]
@@ -279,47 +298,51 @@
             yield self._assign(ticket, executor)
 
     def retry_after(self, now: float) -> int:
-        """Return the seconds after which a refused caller should come back."""
+        """Return the seconds after which a refused caller should retry."""
         latencies = [e.latency_s for e in self.executors.values() if e.latency_s]
         rate = self._drain_rate(now, latencies)
         wait = (len(self._queue) + 1) / rate if rate else 0.0
         return min(max(1, math.ceil(wait + min(latencies, default=0.0))), MAX_RETRY_AFTER_S)
 
-    def _refuse(self, ticket: int, why: Refusal, now: float) -> Refused:
-        return Refused(ticket, why, self.retry_after(now))
+    def _refuse(self, ticket: int, reason: Refusal, now: float) -> Refused:
+        return Refused(ticket, reason, self.retry_after(now))
 
     def _assign(self, ticket: int, executor: Executor) -> Assigned:
         executor.in_flight += 1
-        executor.breaker.begin()
+        executor.breaker.record_start()
         return Assigned(ticket, executor.name)
 
-    def _free(self, name: str, now: float) -> Executor | None:
-        self._drain.note(now)
+    def _release_slot(self, name: str, now: float) -> Executor | None:
+        self._drain_meter.record(now)
         executor = self.executors.get(name)
         if executor is None:
             return None
         executor.in_flight -= 1
         if not self.in_flight and not self._queue:
-            # Answers before a lull are as few as the requests were.
-            self._drain.forget()
+            # Completions before an idle period reflect the low demand, not the capacity.
+            self._drain_meter.reset()
         return executor
 
     def _pick(self, now: float, avoid: str = "") -> Executor | None:
         usable = self._usable(now)
         slots = self.service.slots
-        choices = [
-            Choice(e.name, e.in_flight, share, e.latency_s)
+        candidates = [
+            Candidate(e.name, e.in_flight, share, e.latency_s)
             for e in usable
             if e.name != avoid and e.in_flight < (share := self._share(e.name, slots, now))
         ]
-        if not choices:
+        if not candidates:
             return None
-        return self.executors[self._picker.pick(choices, self._random).name]
+        return self.executors[self._picker.pick(candidates, self._random).name]
 
     def _usable(self, now: float) -> list[Executor]:
-        """Return executors not set aside; too many set aside means a bad signal."""
+        """Return the executors that may get requests.
+
+        All executors that stay are returned if their circuit breakers exclude more than
+        ``MAX_EJECTED_FRACTION`` of them.
+        """
         staying = [e for e in self.executors.values() if not e.leaving]
         allowed = [e for e in staying if e.breaker.allows(now)]
-        if len(staying) - len(allowed) > MAX_EJECTED * len(staying):
+        if len(staying) - len(allowed) > MAX_EJECTED_FRACTION * len(staying):
             return staying
         return allowed
--- a/src/linkspan/routing/shares.py
+++ b/src/linkspan/routing/shares.py
@@ -1,4 +1,8 @@
-"""How a hall's gateways share the executors' slots without a global view."""
+"""Divides the executors' slots among a hall's gateways without central coordination.
+
+Each gateway computes the division from its own view of the members and publishes that
+view in its heartbeats. :class:`ShareTable` decides which slots may be used meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -15,20 +19,21 @@
 def slot_owners(executor: str, slots: int, members: frozenset[str]) -> tuple[str, ...]:
     """Return the owner of each of an executor's slots.
 
-    Each slot goes to the member that ranks highest for it and has not yet its
-    even part of this executor, so that a change of members moves few slots.
+    Uses rendezvous hashing: each slot goes to the highest-ranking member that has not
+    yet reached its even part of this executor's slots, so that a change of members
+    moves few slots.
 
     Args:
-        executor: The executor.
+        executor: Name of the executor.
         slots: Number of its slots.
-        members: The gateways among which they are divided, at least one.
+        members: Gateways among which the slots are divided; not empty.
     """
-    most = -(-slots // len(members))
+    max_per_member = -(-slots // len(members))
     counts = dict.fromkeys(members, 0)
     owners: list[str] = []
     for slot in range(slots):
-        free = [member for member in members if counts[member] < most]
-        owner = max(free, key=lambda m: (_rank(executor, slot, m), m))
+        free = [member for member in members if counts[member] < max_per_member]
+        owner = max(free, key=lambda member: (_rank(executor, slot, member), member))
         counts[owner] += 1
         owners.append(owner)
     return tuple(owners)
@@ -39,141 +44,146 @@
 
 
 def division_digest(members: Iterable[str]) -> int:
-    """Return a digest by which a division among these members is confirmed."""
+    """Return the digest with which peers confirm a division among ``members``."""
     return xxh3_64_intdigest("\0".join(sorted(members)).encode())
 
 
 class Division(NamedTuple):
-    """A peer's latest word on the division.
+    """The division of slots that a peer last published.
 
     Attributes:
-        members: Among whom it divides.
-        heard: Digest of each peer's division that it has taken note of, given
-            only once its own requests fit what is left to it.
+        members: Gateways among which the peer divides the slots.
+        confirmed: Digest of each gateway's division that the peer confirms. The peer
+            confirms only while its requests in flight fit its own share.
     """
 
     members: frozenset[str]
-    heard: Mapping[str, int]
+    confirmed: Mapping[str, int]
 
 
 class ShareTable:
-    """Tells which slots this gateway may use.
+    """Decides which slots this gateway may use.
 
-    A slot is used by a gateway only if it owns the slot by its own division
-    and no peer owns it by the division that the peer last told. A division
-    that would give this gateway more is used only after every other member
-    has confirmed it, having given up those slots. So a member that is silent
-    keeps what it had, and nobody gains until it is known to be gone.
+    A gateway uses a slot only if it owns the slot in its own division and no peer
+    owns the slot in the division that the peer last published. A division that gives
+    this gateway more slots takes effect only after every other member has confirmed
+    it and thereby given those slots up. A silent member therefore keeps its slots
+    until it is removed from the members.
 
     Args:
-        name: This gateway.
-        fresh_s: Longest time between two calls of :meth:`tick` after which
-            slots may still be used; a gateway that was paused for longer
-            starts over like a new one.
-        join_wait_s: How long a gateway that starts (over) listens for others
-            before it uses a slot; no less than the host list lags for new hosts.
+        name: Name of this gateway.
+        fresh_s: Maximum time between two calls of :meth:`tick`. After a longer
+            freeze the gateway uses no slots and starts over like a new gateway.
+        start_delay_s: Time for which a gateway that starts (over) collects heartbeats
+            before it uses a slot; at least the delay with which the host list shows
+            new hosts.
     """
 
-    def __init__(self, name: str, *, fresh_s: float = 5.0, join_wait_s: float = 3.0) -> None:
+    def __init__(self, name: str, *, fresh_s: float = 5.0, start_delay_s: float = 3.0) -> None:
         self._name = name
         self._fresh_s = fresh_s
-        self._join_wait_s = join_wait_s
-        self._joined = float("inf")
+        self._start_delay_s = start_delay_s
+        self._started_at = float("inf")
         self._members: frozenset[str] = frozenset()
-        self._settled: frozenset[str] | None = None
+        self._confirmed_members: frozenset[str] | None = None
         self._peers: dict[str, Division] = {}
-        self._ticked = float("-inf")
-        self._counted: dict[tuple[str, int], int] = {}
+        self._last_tick = float("-inf")
+        self._share_cache: dict[tuple[str, int], int] = {}
 
     def __repr__(self) -> str:
-        settled = self._settled == self._members
-        return f"ShareTable({self._name!r}, members={len(self._members)}, settled={settled})"
+        confirmed = self._confirmed_members == self._members
+        return f"ShareTable({self._name!r}, members={len(self._members)}, confirmed={confirmed})"
 
     @property
     def members(self) -> frozenset[str]:
-        """Among whom this gateway divides."""
+        """Gateways among which this gateway divides the slots, including itself."""
         return self._members
 
     @property
-    def is_settled(self) -> bool:
-        """Whether all members have confirmed the present division."""
-        return self._settled == self._members
-
-    def set_members(self, others: Iterable[str]) -> None:
-        """Divide among these gateways and this one from now on."""
-        self._members = frozenset({self._name, *others})
-        self._peers = {p: d for p, d in self._peers.items() if p in self._members}
+    def is_confirmed(self) -> bool:
+        """Whether all members have confirmed the current division."""
+        return self._confirmed_members == self._members
+
+    def set_members(self, other_members: Iterable[str]) -> None:
+        """Divide the slots among this gateway and ``other_members``."""
+        self._members = frozenset({self._name, *other_members})
+        self._peers = {
+            peer: division for peer, division in self._peers.items() if peer in self._members
+        }
         self._settle()
 
     def hear(self, peer: str, division: Division) -> None:
-        """Take in a peer's word; peers that are no members do not count."""
+        """Apply the division that a peer published; non-members are ignored."""
         if peer in self._members and peer != self._name:
             self._peers[peer] = division
             self._settle()
 
     def tick(self, now: float) -> None:
-        """Note that this gateway is awake.
+        """Record that this gateway runs; start over after a freeze.
 
         Args:
             now: Time in seconds.
         """
-        if now - self._ticked > self._fresh_s:
-            self._settled = None
+        if now - self._last_tick > self._fresh_s:
+            self._confirmed_members = None
             self._peers.clear()
-            self._joined = now
-        self._ticked = now
-        if not self.is_settled:
+            self._started_at = now
+        self._last_tick = now
+        if not self.is_confirmed:
             self._settle()
 
     def heard(self, *, fits: bool) -> dict[str, int]:
-        """Return which divisions this gateway confirms to its peers.
+        """Return the digest of each peer's division that this gateway confirms.
 
         Args:
-            fits: Whether its requests in flight fit its present shares.
+            fits: Whether this gateway's requests in flight fit its current shares;
+                otherwise it confirms nothing.
         """
         if not fits:
             return {}
-        return {peer: division_digest(d.members) for peer, d in self._peers.items()}
+        return {peer: division_digest(division.members) for peer, division in self._peers.items()}
 
     def share(self, executor: str, slots: int, now: float) -> int:
         """Return how many of an executor's slots this gateway may use now.
 
         Args:
-            executor: The executor.
+            executor: Name of the executor.
             slots: Number of its slots.
             now: Time in seconds.
         """
-        if self._settled is None or now - self._ticked > self._fresh_s:
+        if self._confirmed_members is None or now - self._last_tick > self._fresh_s:
             return 0
-        known = self._counted.get((executor, slots))
-        if known is None:
-            known = self._counted[executor, slots] = self._count(executor, slots, self._settled)
-        return known
-
-    def _count(self, executor: str, slots: int, settled: frozenset[str]) -> int:
-        views = [(self._name, self._members), (self._name, settled)]
-        mine = [slot_owners(executor, slots, members) for _, members in views]
-        theirs = [
+        cached = self._share_cache.get((executor, slots))
+        if cached is None:
+            cached = self._share_cache[executor, slots] = self._count(
+                executor, slots, self._confirmed_members
+            )
+        return cached
+
+    def _count(self, executor: str, slots: int, confirmed_members: frozenset[str]) -> int:
+        member_sets = [(self._name, self._members), (self._name, confirmed_members)]
+        own_owners = [slot_owners(executor, slots, members) for _, members in member_sets]
+        peer_owners = [
             (peer, slot_owners(executor, slots, division.members))
             for peer, division in self._peers.items()
             if division.members
         ]
         return sum(
-            all(owners[slot] == self._name for owners in mine)
-            and all(owners[slot] != peer for peer, owners in theirs)
+            all(owners[slot] == self._name for owners in own_owners)
+            and all(owners[slot] != peer for peer, owners in peer_owners)
             for slot in range(slots)
         )
 
     def _settle(self) -> None:
-        """Take the division as confirmed if it is, after any change of what is known."""
-        self._counted.clear()
-        if not self._members or self._ticked - self._joined < self._join_wait_s:
+        """Clear cached shares, and adopt the current division if all members confirm it."""
+        self._share_cache.clear()
+        if not self._members or self._last_tick - self._started_at < self._start_delay_s:
             return
         digest = division_digest(self._members)
-        others = self._members - {self._name}
+        other_members = self._members - {self._name}
         confirmed = all(
-            peer in self._peers and self._peers[peer].heard.get(self._name) == digest
-            for peer in others
+            peer in self._peers and self._peers[peer].confirmed.get(self._name) == digest
+            for peer in other_members
         )
         if confirmed:
-            self._settled = self._members
+            self._confirmed_members = self._members
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -102,18 +102,18 @@
 
 
 def _settle_at_once(self: ShareTable) -> None:
-    self._counted.clear()
+    self._share_cache.clear()
     if self._members:
-        self._settled = self._members
+        self._confirmed_members = self._members
 
 
-def _count_own_view(self: ShareTable, executor: str, slots: int, settled: Any) -> int:
+def _count_own_view(self: ShareTable, executor: str, slots: int, confirmed_members: Any) -> int:
     return slot_owners(executor, slots, self._members).count(self._name)
 
 
 def _stay_settled(self: ShareTable, now: float) -> None:
-    self._joined = min(self._joined, now)
-    self._ticked = now
+    self._started_at = min(self._started_at, now)
+    self._last_tick = now
     self._settle()
 
 
--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -15,7 +15,7 @@
 from linkspan.routing.budget import RetryBudget
 from linkspan.routing.claims import Claim, ClaimRegister, encode_claims
 from linkspan.routing.drain_rate import DrainRate
-from linkspan.routing.pickers import PICKERS, Choice
+from linkspan.routing.pickers import PICKERS, Candidate
 from linkspan.routing.pool import Assigned, Queued, Refusal, Refused, ServicePool
 
 ADDRESSES = {"e1": "127.0.0.1:1", "e2": "127.0.0.1:2", "e3": "127.0.0.1:3"}
@@ -174,14 +174,14 @@
 
 
 def test_breaker_opens_tries_and_closes() -> None:
-    breaker = Breaker(failures=2, pause_s=1.0)
-    assert [breaker.fail(0.0), breaker.fail(0.0)] == [False, True]
+    breaker = Breaker(failure_threshold=2, initial_backoff_s=1.0)
+    assert [breaker.record_failure(0.0), breaker.record_failure(0.0)] == [False, True]
     assert [breaker.allows(0.5), breaker.allows(1.0)] == [False, True]
-    breaker.begin()
+    breaker.record_start()
     assert not breaker.allows(1.0)
-    assert breaker.fail(1.0)
+    assert breaker.record_failure(1.0)
     assert [breaker.allows(2.5), breaker.allows(3.0)] == [False, True]
-    breaker.succeed()
+    breaker.record_success()
     assert breaker.is_closed
 
 
@@ -190,14 +190,14 @@
     extra = 0
     for _ in range(10_000):
         budget.earn()
-        extra += budget.spend()
+        extra += budget.try_withdraw()
     assert 990 <= extra <= 1_000
 
 
 def test_drain_rate_forgets() -> None:
     rate = DrainRate(window_s=5.0)
     for n in range(11):
-        rate.note(n * 0.1)
+        rate.record(n * 0.1)
     assert rate.per_second(1.0) == pytest.approx(11.0)
     assert rate.per_second(20.0) == 0.0
 
@@ -208,7 +208,7 @@
 
 
 def test_shortest_wait_avoids_the_slow_one() -> None:
-    slow, fast = Choice("slow", 0, 3, 0.3), Choice("fast", 1, 3, 0.1)
+    slow, fast = Candidate("slow", 0, 3, 0.3), Candidate("fast", 1, 3, 0.1)
     assert PICKERS.make("shortest_wait").pick([slow, fast], random.Random(1)) == fast
 
 
