--- a/src/linkspan/gateway/__init__.py
+++ b/src/linkspan/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: callers' requests, job submissions and operators' changes."""
+"""The gateway daemon: accepts callers' requests and jobs, and operators' commands."""
--- a/src/linkspan/gateway/claimer.py
+++ b/src/linkspan/gateway/claimer.py
@@ -1,4 +1,4 @@
-"""Claims requests that must not be repeated, through the platform's log."""
+"""Claims non-repeatable requests through the platform's log before they are dispatched."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from linkspan.runtime.node import Node
 
-GROUP_S = 0.05
-"""How long claims are gathered for one append."""
+BATCH_INTERVAL_S = 0.05
+"""Interval at which collected claims are appended to the log as one record."""
 
 
 class Claimer:
-    """Owns the claims stream's tail and this gateway's claims.
+    """Appends this gateway's claims and follows the claims stream to learn which claims win.
 
     Args:
         node: The daemon.
@@ -28,62 +28,68 @@
         self._node = node
         self._register = ClaimRegister()
         self._nonces = count(1)
-        self._waiting: list[Claim] = []
-        self._asked: dict[Claim, asyncio.Future[bool]] = {}
+        self._unsent: list[Claim] = []
+        self._pending: dict[Claim, asyncio.Future[bool]] = {}
 
     def __repr__(self) -> str:
-        return f"Claimer({self._register!r}, asked={len(self._asked)})"
+        return f"Claimer({self._register!r}, pending={len(self._pending)})"
 
     async def claim(self, key: str, *, timeout_s: float) -> Claim | None:
-        """Ask for the right to dispatch the request of this key.
+        """Claim the right to dispatch the request with this key.
 
         Returns:
-            The claim if it won, to be released if the request was surely not
-            sent; None if another one has the key.
+            The claim if it won; the caller releases it if the request was certainly
+            not sent. None if another claim holds the key.
 
         Raises:
-            LogUnavailable: The log did not tell in time. The request must not be
-                sent, and the key is released should the claim still land.
+            LogUnavailable: The claim did not appear in the log in time. The request
+                must not be sent. A release is appended in case the claim takes
+                effect later.
         """
         claim = Claim(key, self._node.name, next(self._nonces), self._register.next_offset)
         if self._register.winner(key) is not None:
             return None
-        answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._asked[claim] = answer
-        self._waiting.append(claim)
+        won: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self._pending[claim] = won
+        self._unsent.append(claim)
         try:
             async with asyncio.timeout(timeout_s):
-                return claim if await answer else None
+                return claim if await won else None
         except TimeoutError as error:
             self.release(claim)
-            raise LogUnavailable("claim not seen in time; send it again") from error
+            raise LogUnavailable(
+                "claim did not appear in the log in time; send the request again"
+            ) from error
         except asyncio.CancelledError:
             self.release(claim)
             raise
         finally:
-            self._asked.pop(claim, None)
+            self._pending.pop(claim, None)
 
     def release(self, claim: Claim) -> None:
-        """Give a key back whose request was surely not sent, as far as the log lets us."""
-        self._waiting.append(claim._replace(is_release=True))
+        """Queue the release of a claim whose request was certainly not sent.
+
+        The release is not repeated if its append fails; the key may then stay claimed.
+        """
+        self._unsent.append(claim._replace(is_release=True))
 
     async def run_appends(self) -> None:
-        """Append gathered claims, group by group."""
+        """Append collected claims and releases in batches until cancelled."""
         while True:
-            await asyncio.sleep(GROUP_S)
-            group = [c for c in self._waiting if c.is_release or c in self._asked]
-            self._waiting.clear()
-            if not group:
+            await asyncio.sleep(BATCH_INTERVAL_S)
+            batch = [c for c in self._unsent if c.is_release or c in self._pending]
+            self._unsent.clear()
+            if not batch:
                 continue
             result = "answered"
             try:
-                await self._node.log.append(CLAIMS_STREAM, encode_claims(group))
+                await self._node.log.append(CLAIMS_STREAM, encode_claims(batch))
             except LogUnavailable:
                 result = "unknown"
             self._node.metrics.appends.inc({"stream": "claims", "result": result})
 
     async def run_tail(self) -> None:
-        """Fold the claims stream and answer those who asked."""
+        """Apply the claims stream and resolve pending claims until cancelled."""
         tail = LogTail(self._node.log, self._node.events, CLAIMS_STREAM)
         start = 0
         while True:
@@ -97,10 +103,10 @@
             for entry in page.entries:
                 self._register.apply(entry.offset, entry.body)
                 start = entry.offset + 1
-            self._answer()
+            self._resolve_pending()
 
-    def _answer(self) -> None:
-        for claim, answer in self._asked.items():
+    def _resolve_pending(self) -> None:
+        for claim, won in self._pending.items():
             winner = self._register.winner(claim.key)
-            if winner is not None and not answer.done():
-                answer.set_result(winner == claim)
+            if winner is not None and not won.done():
+                won.set_result(winner == claim)
--- a/src/linkspan/gateway/daemon.py
+++ b/src/linkspan/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: listeners, and the tasks behind them."""
+"""The gateway process: its listeners and background tasks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """One gateway process.
 
     Args:
-        settings: The settings in force.
+        settings: Settings of the process.
     """
 
     def __init__(self, settings: GatewaySettings) -> None:
@@ -37,42 +37,48 @@
         self._node = Node("gateway", settings)
         self._router: Router | None = None
         self._open_requests = 0
-        self._callers = ""
+        self._caller_address = ""
 
     def __repr__(self) -> str:
         return f"GatewayDaemon({self._node.name!r}, open_requests={self._open_requests})"
 
     async def serve(self) -> int:
-        """Run until asked to stop, and return the exit code."""
+        """Run until a stop is requested, and return the exit code."""
         node, settings = self._node, self._settings
         await node.start()
         router = self._router = Router(node.name, node.address, settings.hall)
         claimer = Claimer(node)
         proxy = Proxy(node, router, claimer)
-        node.complete_heartbeat = self._describe
-        node.heartbeats.subscribe(router.on_beat)
-        node.gone.subscribe(router.on_gone)
+        node.complete_heartbeat = self._complete_heartbeat
+        node.heartbeats.subscribe(router.on_heartbeat)
+        node.gone.subscribe(router.on_connection_refused)
         node.host_lists.subscribe(router.on_hosts)
         node.config_states.subscribe(router.on_config)
         node.spawn(router.run())
         node.spawn(claimer.run_appends())
         node.spawn(claimer.run_tail())
-        callers, address = await listen(self._callers_app(proxy), *split_address(settings.listen))
-        self._callers = address
-        operators_app = make_operator_app(node, self._reasons_not_ready)
-        api = OperatorsApi(node, router, timeout_s=settings.answer_timeout_s)
-        api.add_routes(operators_app)
-        operators, operator = await listen(operators_app, *split_address(settings.operator_listen))
-        node.events.write(Event.LISTENING, peer=node.address, operator=operator, callers=address)
+        caller_runner, caller_address = await listen(
+            self._make_caller_app(proxy), *split_address(settings.listen)
+        )
+        self._caller_address = caller_address
+        operator_app = make_operator_app(node, self._reasons_not_ready)
+        operators_api = OperatorsApi(node, router, timeout_s=settings.answer_timeout_s)
+        operators_api.add_routes(operator_app)
+        operator_runner, operator_address = await listen(
+            operator_app, *split_address(settings.operator_listen)
+        )
+        node.events.write(
+            Event.LISTENING, peer=node.address, operator=operator_address, callers=caller_address
+        )
         await node.wait_for_stop()
-        await self._drain(callers)
-        await operators.cleanup()
+        await self._drain(caller_runner)
+        await operator_runner.cleanup()
         await proxy.close()
         return await node.close()
 
-    def _callers_app(self, proxy: Proxy) -> web.Application:
+    def _make_caller_app(self, proxy: Proxy) -> web.Application:
         @web.middleware
-        async def count_open(
+        async def count_open_requests(
             request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
         ) -> web.StreamResponse:
             self._open_requests += 1
@@ -88,7 +94,7 @@
                 self._open_requests -= 1
 
         app = web.Application(
-            client_max_size=self._settings.max_body_bytes, middlewares=[count_open]
+            client_max_size=self._settings.max_body_bytes, middlewares=[count_open_requests]
         )
         app.router.add_route("*", "/services/{service}/{tail:.*}", proxy.handle)
         JobsApi(self._node, timeout_s=self._settings.answer_timeout_s).add_routes(app)
@@ -104,27 +110,27 @@
             reasons.append("slots not divided with the other gateways yet")
         return reasons
 
-    async def _drain(self, callers: web.AppRunner) -> None:
-        """Let the balancer look away, then finish what is in flight."""
+    async def _drain(self, caller_runner: web.AppRunner) -> None:
+        """Wait until load balancers stop sending, then finish the open requests."""
         await asyncio.sleep(self._settings.drain_notice_s)
-        for site in list(callers.sites):
+        for site in list(caller_runner.sites):
             await site.stop()
         deadline = time.monotonic() + self._settings.drain_limit_s
         while self._open_requests and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
-        await callers.cleanup()
+        await caller_runner.cleanup()
 
-    def _describe(self, beat: Heartbeat) -> Heartbeat:
+    def _complete_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         router = self._router
         if router is None:
-            return beat
-        members, heard = router.describe()
+            return heartbeat
+        members, heard = router.describe_division()
         self._node.metrics.in_flight.set({}, router.in_flight)
         return dataclasses.replace(
-            beat,
+            heartbeat,
             members=members,
             heard=heard,
             in_flight=router.in_flight,
-            callers=self._callers,
-            serves=router.served,
+            callers=self._caller_address,
+            serves=router.served_services,
         )
--- a/src/linkspan/gateway/job_request.py
+++ b/src/linkspan/gateway/job_request.py
@@ -1,4 +1,4 @@
-"""Checks a job as a caller sends it, and builds the job from it."""
+"""Validates the JSON of a submitted job and builds the job's specification."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from linkspan.selectors.selector import parse_selector
 
 MAX_TASKS = 10_000
-"""Most tasks of one job."""
+"""Limits the number of tasks of a job."""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
 _FIELDS = frozenset(JobSpec.__dataclass_fields__)
@@ -24,18 +24,18 @@
 
 
 MAX_JOB_BYTES = 16_384
-"""Largest body of a job, so that a ledger record holds several."""
+"""Limits the size of a job's JSON, so that a ledger record holds several jobs."""
 
 
 def parse_job(body: bytes) -> Result[JobSpec, LinkspanError]:
-    """Return the job that a request's JSON body describes, or what is wrong."""
+    """Parse the JSON body of a job submission into a job or a validation error."""
     try:
-        return Ok(_job(body))
+        return Ok(_build_job(body))
     except (InvalidInput, SelectorSyntaxError) as error:
         return Error(error)
 
 
-def _job(body: bytes) -> JobSpec:
+def _build_job(body: bytes) -> JobSpec:
     if len(body) > MAX_JOB_BYTES:
         remedy = f"keep it to {MAX_JOB_BYTES}, with fewer or shorter labels"
         raise InvalidInput("body", f"{len(body)} bytes", remedy)
@@ -49,21 +49,21 @@
     if str(fields.get("job_id", "")).startswith(SERVICE_PREFIX):
         raise InvalidInput("job_id", f"begins with {SERVICE_PREFIX!r}", "choose another id")
     return JobSpec(
-        job_id=_name(fields, "job_id"),
-        customer=_name(fields, "customer"),
-        team=_name(fields, "team"),
-        kind=_name(fields, "kind"),
+        job_id=_parse_name(fields, "job_id"),
+        customer=_parse_name(fields, "customer"),
+        team=_parse_name(fields, "team"),
+        kind=_parse_name(fields, "kind"),
         count=as_number("count", fields.get("count", 1), 1, MAX_TASKS),
         size=size,
-        priority=_priority(fields),
-        repeatable=_flag(fields, "repeatable", True),
+        priority=_parse_priority(fields),
+        repeatable=_parse_bool(fields, "repeatable", True),
         labels=labels_of("labels", fields.get("labels", {})),
         selector=selector,
         run_s=as_number("run_s", fields.get("run_s", 0), 0, 31_536_000),
     )
 
 
-def _name(fields: Mapping[str, Any], key: str) -> str:
+def _parse_name(fields: Mapping[str, Any], key: str) -> str:
     value = fields.get(key)
     if not isinstance(value, str) or not _NAME.fullmatch(value):
         remedy = "give 1 to 128 letters, digits, dots, colons, dashes or underscores"
@@ -71,14 +71,14 @@
     return value
 
 
-def _flag(fields: Mapping[str, Any], key: str, default: bool) -> bool:
+def _parse_bool(fields: Mapping[str, Any], key: str, default: bool) -> bool:
     value = fields.get(key, default)
     if not isinstance(value, bool):
         raise InvalidInput(key, f"{value!r:.40}", "give true or false")
     return value
 
 
-def _priority(fields: Mapping[str, Any]) -> Priority:
+def _parse_priority(fields: Mapping[str, Any]) -> Priority:
     value = fields.get("priority", "batch")
     found = _PRIORITIES.get(value) if isinstance(value, str) else None
     if found is None:
--- a/src/linkspan/gateway/operators.py
+++ b/src/linkspan/gateway/operators.py
@@ -1,4 +1,4 @@
-"""Operators' interface: configuration and the state of hosts."""
+"""HTTP interface for operators: configuration changes and the status of the gateway."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
     from linkspan.gateway.router import Router
     from linkspan.runtime.node import Node
 
-VERDICT_TICK_S = 0.02
+RESULT_POLL_INTERVAL_S = 0.02
+"""Interval between checks for the result of a published change."""
 
 
 class OperatorsApi:
-    """Serves ``/config`` and ``/status`` on the operators' listener.
+    """Serves ``/config`` and ``/status`` on the operator listener.
 
     Args:
         node: The daemon.
-        router: For the state of the services.
-        timeout_s: Wait for the log to show a change's verdict.
+        router: Source of the services' status.
+        timeout_s: Timeout for the log to show the result of a change.
     """
 
     def __init__(self, node: Node, router: Router, *, timeout_s: float) -> None:
@@ -42,7 +43,7 @@
         return f"OperatorsApi(timeout_s={self._timeout_s})"
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the operators' paths."""
+        """Register the operator routes."""
         app.router.add_get("/config", self.get_config)
         app.router.add_post("/config/changes", self.publish)
         app.router.add_get("/config/changes/{change_id}", self.get_change)
@@ -57,11 +58,11 @@
 
     async def get_change(self, request: web.Request) -> web.Response:
         """Answer ``GET /config/changes/ID``."""
-        verdict = self._node.config.result_of(request.match_info["change_id"])
-        if verdict is None:
+        result = self._node.config.result_of(request.match_info["change_id"])
+        if result is None:
             text = "no verdict known here; it may be with the log, or be long past"
             return problem(404, "unknown_change", text)
-        return _verdict_answer(verdict, [])
+        return _result_response(result, [])
 
     async def publish(self, request: web.Request) -> web.Response:
         """Answer ``POST /config/changes``."""
@@ -70,39 +71,43 @@
         except InvalidInput as error:
             return problem(400, "invalid_input", str(error), field=error.field)
         document = merged(self._node.config.state.document, change)
-        findings = [f for f in validate(document) if f.key in change.touched or f.is_error]
+        findings = [
+            finding
+            for finding in validate(document)
+            if finding.key in change.touched or finding.is_error
+        ]
         if any(finding.is_error for finding in findings):
             listed = [finding._asdict() for finding in findings]
             text = f"{findings[0].key}: {findings[0].text}"
             self._node.events.write(Event.CONFIG_REFUSED, change=change.change_id, reason=text)
             return problem(422, "invalid_configuration", text, findings=listed)
         warnings = [f"{finding.key}: {finding.text}" for finding in findings]
-        return await self._offer(change, warnings)
+        return await self._append_change(change, warnings)
 
-    async def _offer(self, change: Change, warnings: list[str]) -> web.Response:
-        # An append without an answer may have landed all the same: the log tells.
+    async def _append_change(self, change: Change, warnings: list[str]) -> web.Response:
+        # An unanswered append may still have taken effect; the log shows whether it has.
         with contextlib.suppress(LogUnavailable):
             await self._node.log.append(CONFIG_STREAM, encode_change(change))
-        verdict = await self._await_verdict(change.change_id)
-        if verdict is None:
+        result = await self._await_result(change.change_id)
+        if result is None:
             text = (
                 f"the log has not shown it yet; ask GET /config/changes/{change.change_id}, "
                 "or publish it again under the same change_id"
             )
             return problem(202, "unknown_yet", text, retry_after_s=2)
-        if not verdict.accepted:
+        if not result.accepted:
             self._node.events.write(
-                Event.CONFIG_REFUSED, change=change.change_id, reason=verdict.reason
+                Event.CONFIG_REFUSED, change=change.change_id, reason=result.reason
             )
-        return _verdict_answer(verdict, warnings)
+        return _result_response(result, warnings)
 
-    async def _await_verdict(self, change_id: str) -> ChangeResult | None:
+    async def _await_result(self, change_id: str) -> ChangeResult | None:
         deadline = time.monotonic() + self._timeout_s
         while time.monotonic() < deadline:
-            verdict = self._node.config.result_of(change_id)
-            if verdict is not None:
-                return verdict
-            await asyncio.sleep(VERDICT_TICK_S)
+            result = self._node.config.result_of(change_id)
+            if result is not None:
+                return result
+            await asyncio.sleep(RESULT_POLL_INTERVAL_S)
         return None
 
     async def get_status(self, request: web.Request) -> web.Response:
@@ -119,7 +124,9 @@
             }
             for peer in node.directory.all()
         ]
-        listed = {h.address for h in node.host_lists.value if h.role in ("gateway", "scheduler")}
+        listed = {
+            host.address for host in node.host_lists.value if host.role in ("gateway", "scheduler")
+        }
         heard = {peer.beat.address for peer in node.directory.live(now)} | {node.address}
         return json_answer(  # type: ignore[no-any-return]
             {
@@ -128,34 +135,34 @@
                 "config_version": node.config.version,
                 "peers": sorted(peers, key=lambda peer: (peer["hall"], peer["name"])),
                 "not_asked": sorted(listed - heard),
-                "services": {name: self._service(name, now) for name in self._router.pools},
+                "services": {name: self._service_status(name, now) for name in self._router.pools},
             }
         )
 
-    def _service(self, name: str, now: float) -> dict[str, Any]:
+    def _service_status(self, name: str, now: float) -> dict[str, Any]:
         pool = self._router.pools[name]
         slots = pool.service.slots
         return {
             "in_flight": pool.in_flight,
             "queued": pool.queued,
             "executors": {
-                e.name: {
-                    "in_flight": e.in_flight,
-                    "share": self._router.shares.share(e.name, slots, now),
-                    "latency_ms": round(e.latency_s * 1000, 1),
-                    "leaving": e.leaving,
-                    "set_aside": not e.breaker.is_closed,
+                executor.name: {
+                    "in_flight": executor.in_flight,
+                    "share": self._router.shares.share(executor.name, slots, now),
+                    "latency_ms": round(executor.latency_s * 1000, 1),
+                    "leaving": executor.leaving,
+                    "set_aside": not executor.breaker.is_closed,
                 }
-                for e in pool.executors.values()
+                for executor in pool.executors.values()
             },
         }
 
 
 def parse_change(body: bytes) -> Change:
-    """Return the change that a request's JSON body describes.
+    """Parse the JSON body of a configuration change.
 
     Raises:
-        InvalidInput: The body does not describe one.
+        InvalidInput: The body is not a valid change.
     """
     fields = json_object(body)
     no_others("", fields, Change.__dataclass_fields__)
@@ -172,12 +179,12 @@
     return Change(change_id, base, author, dict(values), tuple(deleted))
 
 
-def _verdict_answer(verdict: ChangeResult, warnings: list[str]) -> web.Response:
+def _result_response(result: ChangeResult, warnings: list[str]) -> web.Response:
     body = {
-        "accepted": verdict.accepted,
-        "version": verdict.version,
-        "reason": verdict.reason,
-        "conflicts": list(verdict.conflicts),
+        "accepted": result.accepted,
+        "version": result.version,
+        "reason": result.reason,
+        "conflicts": list(result.conflicts),
         "warnings": warnings,
     }
-    return json_answer(body, status=200 if verdict.accepted else 409)  # type: ignore[no-any-return]
+    return json_answer(body, status=200 if result.accepted else 409)  # type: ignore[no-any-return]
--- a/src/linkspan/gateway/proxy.py
+++ b/src/linkspan/gateway/proxy.py
@@ -1,4 +1,4 @@
-"""Carries callers' requests to executors and whole answers back."""
+"""Forwards callers' requests to executors and returns the answers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from linkspan.gateway.request_terms import (
     DEADLINE_HEADER,
     RequestTerms,
-    passed_on,
+    forwarded_headers,
     request_terms,
 )
 from linkspan.routing.pool import Refused
@@ -34,34 +34,36 @@
     from linkspan.routing.pool import ServicePool
     from linkspan.runtime.node import Node
 
-MAX_HELD_BYTES = 1_048_576
-"""Answers up to this size are held until they are whole."""
+MAX_BUFFERED_BYTES = 1_048_576
+"""Limits the size of answers that are buffered until complete; longer ones are streamed."""
 
-PIECE_BYTES = 65_536
-"""Size of the pieces in which longer answers and feeds pass through."""
+CHUNK_BYTES = 65_536
+"""Maximum size of the chunks in which answers are streamed."""
 
 FORWARDED_HEADER = "Linkspan-Forwarded"
-"""Marks a request that comes from a gateway of another hall; it goes no further."""
+"""Marks a request from a gateway of another hall; such a request is not forwarded again."""
 
 NOT_SENT_HEADER = "Linkspan-Not-Sent"
-"""Marks our own answer to a request of which no byte went to an executor."""
+"""Marks an answer of the gateway to a request of which no byte was sent to an executor."""
 
-FAR_SILENCE_S = 120.0
-"""Silence after which a gateway of another hall is not counted on; it is heard seldom."""
+MAX_REMOTE_SILENCE_S = 120.0
+"""Limits the age of the last heartbeat of a gateway to which requests are forwarded.
 
-IDLE_S = 60.0
-"""Longest silence within a feed."""
+Gateways of other halls send heartbeats rarely."""
 
-_SAFE_FAILURES = (aiohttp.ClientConnectorError,)
-"""Failures before any byte went out."""
+MAX_STREAM_IDLE_S = 60.0
+"""Limits the time between two reads from an executor's connection."""
 
+_NOT_SENT_ERRORS = (aiohttp.ClientConnectorError,)
+"""Errors that occur before any byte of the request is sent."""
 
-class UpstreamFailed(Exception):
-    """An executor gave no whole answer.
+
+class UpstreamError(Exception):
+    """An executor or remote gateway did not return a complete answer.
 
     Args:
-        sent: Whether a byte of the request may have reached it.
-        reason: What happened.
+        sent: Whether a byte of the request may have been received.
+        reason: Name of the underlying error; part of the answer to the caller.
     """
 
     def __init__(self, *, sent: bool, reason: str) -> None:
@@ -70,14 +72,14 @@
 
 
 class Call(NamedTuple):
-    """A caller's request on its way.
+    """A caller's request while the gateway handles it.
 
     Attributes:
-        request: The request.
-        pool: Its service's pool.
-        terms: What its headers ask for.
-        body: Its whole body, empty for a feed.
-        deadline: Our time in seconds by which its answer is of use.
+        request: The HTTP request.
+        pool: Pool of the requested service.
+        terms: Terms from the request's headers.
+        body: Complete body of the request; empty if the request is streamed.
+        deadline: Monotonic time of the request's deadline, in seconds.
     """
 
     request: web.Request
@@ -86,17 +88,17 @@
     body: bytes
     deadline: float
 
-    def left(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline - time.monotonic())
 
 
-class Dispatched(NamedTuple):
-    """What became of a request.
+class DispatchResult(NamedTuple):
+    """Result of dispatching a request.
 
     Attributes:
-        answer: The answer for the caller.
-        sent: Whether a byte of it may have reached any executor.
+        answer: Answer for the caller.
+        sent: Whether a byte of the request may have reached an executor.
     """
 
     answer: web.StreamResponse
@@ -108,8 +110,8 @@
 
     Args:
         node: The daemon.
-        router: The services' pools.
-        claimer: Grants requests that must not be repeated.
+        router: Owner of the service pools.
+        claimer: Claims non-repeatable requests before they are dispatched.
     """
 
     def __init__(self, node: Node, router: Router, claimer: Claimer) -> None:
@@ -120,7 +122,7 @@
         self._session = aiohttp.ClientSession(
             connector=connector, auto_decompress=False, cookie_jar=aiohttp.DummyCookieJar()
         )
-        # The library would send a repeatable request again by itself, outside our budget.
+        # aiohttp would otherwise retry idempotent requests itself, outside the retry budget.
         self._session._retry_connection = False
 
     def __repr__(self) -> str:
@@ -132,135 +134,142 @@
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
         """Answer a caller's request."""
-        started = time.monotonic()
+        started_at = time.monotonic()
         name = request.match_info["service"]
         pool = self._router.pools.get(name)
         if pool is None:
             text = f"no service {name!r:.80}; publish services/NAME first"
-            return self._count(name, started, problem(404, "unknown_service", text))
+            return self._count_request(name, started_at, problem(404, "unknown_service", text))
         try:
             terms = request_terms(request.method, request.headers, pool.service)
         except InvalidInput as error:
             refusal = problem(400, "invalid_input", str(error), field=error.field)
-            return self._count(name, started, refusal)
+            return self._count_request(name, started_at, refusal)
         try:
-            async with asyncio.timeout(terms.budget_s):
+            async with asyncio.timeout(terms.timeout_s):
                 body = b"" if terms.stream else await request.read()
         except TimeoutError:
             text = "not run: the body did not arrive before the deadline; send it faster"
-            return self._count(name, started, problem(408, "slow_sender", text))
-        call = Call(request, pool, terms, body, started + terms.budget_s)
-        return self._count(name, started, await self._forward_or_serve(call))
+            return self._count_request(name, started_at, problem(408, "slow_sender", text))
+        call = Call(request, pool, terms, body, started_at + terms.timeout_s)
+        return self._count_request(name, started_at, await self._forward_or_serve(call))
 
-    def _count(
-        self, service: str, started: float, answer: web.StreamResponse
+    def _count_request(
+        self, service: str, started_at: float, answer: web.StreamResponse
     ) -> web.StreamResponse:
         metrics = self._node.metrics
         metrics.requests.inc({"service": service, "status": str(answer.status)})
-        metrics.latency.observe({"service": service}, time.monotonic() - started)
+        metrics.latency.observe({"service": service}, time.monotonic() - started_at)
         return answer
 
     async def _forward_or_serve(self, call: Call) -> web.StreamResponse:
         pool = call.pool
         if not pool.has_executor and FORWARDED_HEADER not in call.request.headers:
-            other = self._gateway_elsewhere(pool.service.name)
-            if other is not None:
-                return await self._forward(call, other)
+            remote = self._find_remote_gateway(pool.service.name)
+            if remote is not None:
+                return await self._forward(call, remote)
         return await self._serve(call)
 
-    def _gateway_elsewhere(self, service: str) -> Heartbeat | None:
-        """Return a gateway of another hall that has executors of the service."""
+    def _find_remote_gateway(self, service: str) -> Heartbeat | None:
+        """Return a random gateway of another hall that has executors of the service."""
         now, node = time.monotonic(), self._node
-        known = [
+        candidates = [
             peer.beat
             for peer in node.directory.known(role="gateway")
             if service in peer.beat.serves
             and peer.beat.hall != node.settings.hall
             and not peer.beat.draining
-            and now - peer.heard <= FAR_SILENCE_S
+            and now - peer.heard <= MAX_REMOTE_SILENCE_S
         ]
-        return random.choice(known) if known else None
+        return random.choice(candidates) if candidates else None
 
-    async def _forward(self, call: Call, other: Heartbeat) -> web.StreamResponse:
-        """Pass a request on whole; the other gateway claims and limits it as its own."""
+    async def _forward(self, call: Call, remote: Heartbeat) -> web.StreamResponse:
+        """Forward a request to ``remote``, which applies its own limits and claims."""
         service = call.pool.service.name
-        self._node.events.write(Event.FORWARDED, service=service, hall=other.hall, to=other.name)
-        base = f"http://{other.callers}/services/{service}"
+        self._node.events.write(Event.FORWARDED, service=service, hall=remote.hall, to=remote.name)
+        base = f"http://{remote.callers}/services/{service}"
         try:
             return await self._exchange(call, base, {FORWARDED_HEADER: self._node.settings.hall})
-        except UpstreamFailed as error:
-            return self._failed(error, call, sent=error.sent)
+        except UpstreamError as error:
+            return self._failure_response(error, call, sent=error.sent)
 
     async def _serve(self, call: Call) -> web.StreamResponse:
         pool = call.pool
         pool.retries.earn()
-        entered = await self._router.enter(pool, call.left())
-        if isinstance(entered, Refused):
-            text = f"not run: {entered.reason.value}; come back after {entered.retry_after_s} s"
-            kind = entered.reason.name.lower()
-            return self._refuse(pool, kind, text, 503, entered.retry_after_s)
+        assignment = await self._router.assign(pool, call.remaining_s())
+        if isinstance(assignment, Refused):
+            text = (
+                f"not run: {assignment.reason.value}; come back after {assignment.retry_after_s} s"
+            )
+            kind = assignment.reason.name.lower()
+            return self._refuse(pool, kind, text, 503, assignment.retry_after_s)
         if not call.terms.key:
-            return (await self._dispatch(call, entered.executor)).answer
-        return await self._dispatch_once(call, entered.executor)
+            return (await self._dispatch(call, assignment.executor)).answer
+        return await self._dispatch_once(call, assignment.executor)
 
     async def _dispatch_once(self, call: Call, executor: str) -> web.StreamResponse:
-        """Claim the request's key while its slot is held, then send it.
+        """Claim the request's key, then dispatch the request to ``executor``.
 
-        The key is given back when the request was surely not sent, so that the
-        caller can come back with it.
+        The executor's slot stays occupied meanwhile. The claim is released if the request
+        was certainly not sent, so that the caller can retry with the same key.
         """
         pool = call.pool
         claim: Claim | None = None
         try:
             key = f"{pool.service.name}/{call.terms.key}"
-            claim = await self._claimer.claim(key, timeout_s=call.left())
+            claim = await self._claimer.claim(key, timeout_s=call.remaining_s())
         except LogUnavailable:
             text = "not run: the log did not grant it in time; send it again with the same key"
             return self._refuse(pool, "log", text, 503, 2)
         finally:
             if claim is None:
-                self._settle(pool, executor, "dropped", time.monotonic())
+                self._release_slot(pool, executor, "dropped", time.monotonic())
         if claim is None:
             text = (
                 "this key was dispatched before, its outcome is with that request's caller; "
                 "if that was told 'not run', use a new key"
             )
             return problem(409, "already_dispatched", text)
-        dispatched = await self._dispatch(call, executor)
-        if not dispatched.sent:
+        result = await self._dispatch(call, executor)
+        if not result.sent:
             self._claimer.release(claim)
-        return dispatched.answer
+        return result.answer
 
-    async def _dispatch(self, call: Call, first: str) -> Dispatched:
-        """Send the request to an executor, and again elsewhere where that is allowed."""
+    async def _dispatch(self, call: Call, first_executor: str) -> DispatchResult:
+        """Send the request to an executor, with retries at others if the terms allow them."""
         pool = call.pool
-        executor: str | None = first
-        tried, sent = "", False
+        executor: str | None = first_executor
+        last_executor, sent = "", False
         while executor is not None:
-            tried = executor
+            last_executor = executor
             try:
-                return Dispatched(await self._attempt(call, executor), True)
-            except UpstreamFailed as error:
-                last = error
-            executor, sent = None, sent or last.sent
+                return DispatchResult(await self._attempt(call, executor), True)
+            except UpstreamError as error:
+                last_error = error
+            executor, sent = None, sent or last_error.sent
             if not sent or call.terms.repeatable:
-                executor = pool.again(tried, time.monotonic())
+                executor = pool.again(last_executor, time.monotonic())
         self._node.events.write(
-            Event.REQUEST_FAILED, service=pool.service.name, executor=tried, reason=str(last)
+            Event.REQUEST_FAILED,
+            service=pool.service.name,
+            executor=last_executor,
+            reason=str(last_error),
         )
-        return Dispatched(self._failed(last, call, sent=sent), sent)
+        return DispatchResult(self._failure_response(last_error, call, sent=sent), sent)
 
-    def _failed(self, error: UpstreamFailed, call: Call, *, sent: bool) -> web.Response:
-        wait = call.pool.retry_after(time.monotonic())
+    def _failure_response(self, error: UpstreamError, call: Call, *, sent: bool) -> web.Response:
+        retry_after_s = call.pool.retry_after(time.monotonic())
         if not sent:
-            answer = problem(503, "not_run", f"not run: {error}; come back", retry_after_s=wait)
+            answer = problem(
+                503, "not_run", f"not run: {error}; come back", retry_after_s=retry_after_s
+            )
             answer.headers[NOT_SENT_HEADER] = "yes"
             return answer
-        if not call.left():
+        if not call.remaining_s():
             text = "no answer before the deadline; it may have run"
-            return problem(504, "outcome_unknown", text, retry_after_s=wait)
+            return problem(504, "outcome_unknown", text, retry_after_s=retry_after_s)
         text = f"no whole answer: {error}; it may have run"
-        return problem(502, "outcome_unknown", text, retry_after_s=wait)
+        return problem(502, "outcome_unknown", text, retry_after_s=retry_after_s)
 
     def _refuse(
         self, pool: ServicePool, kind: str, text: str, status: int, retry_after_s: int
@@ -276,60 +285,62 @@
         return problem(status, kind, text, retry_after_s=retry_after_s)
 
     async def _attempt(self, call: Call, name: str) -> web.StreamResponse:
-        """Send the request to one executor; always frees its slot."""
-        began = time.monotonic()
+        """Send the request to one executor, and release its slot in any case."""
+        started_at = time.monotonic()
         pool = call.pool
         executor = pool.executors[name]
         outcome = "dropped"
         try:
             answer = await self._exchange(call, f"http://{executor.address}", {})
             outcome = "failed" if answer.status in (502, 503) else "answered"
-            self._log_routed(pool, name, answer.status, began)
+            self._log_routed(pool, name, answer.status, started_at)
             return answer
-        except UpstreamFailed:
+        except UpstreamError:
             outcome = "failed"
             raise
         finally:
-            self._settle(pool, name, outcome, began)
+            self._release_slot(pool, name, outcome, started_at)
 
-    def _settle(self, pool: ServicePool, name: str, outcome: str, began: float) -> None:
+    def _release_slot(self, pool: ServicePool, name: str, outcome: str, started_at: float) -> None:
         now = time.monotonic()
         if outcome == "answered":
-            pool.answered(name, now - began, now)
+            pool.answered(name, now - started_at, now)
         elif outcome == "failed" and pool.failed(name, now):
             self._node.events.write(
                 Event.EXECUTOR_EJECTED, service=pool.service.name, executor=name
             )
         elif outcome == "dropped":
             pool.dropped(name, now)
-        self._router.wake(pool)
+        self._router.process_queue(pool)
 
-    def _log_routed(self, pool: ServicePool, name: str, status: int, began: float) -> None:
+    def _log_routed(self, pool: ServicePool, name: str, status: int, started_at: float) -> None:
         self._node.events.write(
             Event.ROUTED,
             service=pool.service.name,
             executor=name,
             status=status,
-            upstream_ms=round((time.monotonic() - began) * 1000, 1),
+            upstream_ms=round((time.monotonic() - started_at) * 1000, 1),
             in_flight=pool.in_flight,
             queued=pool.queued,
         )
 
     async def _exchange(
-        self, call: Call, base: str, extra: Mapping[str, str]
+        self, call: Call, base: str, extra_headers: Mapping[str, str]
     ) -> web.StreamResponse:
-        """Send the request to ``base`` and bring the answer back.
+        """Send the request to the server at ``base`` and return the answer.
 
         Raises:
-            UpstreamFailed: There was no whole answer.
+            UpstreamError: No complete answer was received.
         """
-        request, terms, left = call.request, call.terms, call.left()
-        headers = passed_on(request.headers)
-        headers[DEADLINE_HEADER] = str(max(1, int(left * 1000)))
-        headers.update(extra)
+        request, terms, remaining_s = call.request, call.terms, call.remaining_s()
+        headers = forwarded_headers(request.headers)
+        headers[DEADLINE_HEADER] = str(max(1, int(remaining_s * 1000)))
+        headers.update(extra_headers)
         url = URL(base + _raw_tail(request), encoded=True)
         timeout = aiohttp.ClientTimeout(
-            total=None if terms.stream else max(left, 0.001), sock_read=IDLE_S, connect=1.0
+            total=None if terms.stream else max(remaining_s, 0.001),
+            sock_read=MAX_STREAM_IDLE_S,
+            connect=1.0,
         )
         try:
             async with self._session.request(
@@ -340,32 +351,35 @@
                 timeout=timeout,
                 allow_redirects=False,
             ) as upstream:
-                return await self._bring_back(request, upstream, terms)
-        except _SAFE_FAILURES as error:
-            raise UpstreamFailed(sent=False, reason=f"{error.__class__.__name__}") from error
+                return await self._return_answer(request, upstream, terms)
+        except _NOT_SENT_ERRORS as error:
+            raise UpstreamError(sent=False, reason=f"{error.__class__.__name__}") from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise UpstreamFailed(sent=True, reason=f"{error.__class__.__name__}") from error
+            raise UpstreamError(sent=True, reason=f"{error.__class__.__name__}") from error
 
-    async def _bring_back(
+    async def _return_answer(
         self, request: web.Request, upstream: aiohttp.ClientResponse, terms: RequestTerms
     ) -> web.StreamResponse:
         length = upstream.content_length
-        headers = passed_on(upstream.headers)
+        headers = forwarded_headers(upstream.headers)
         headers.popall(NOT_SENT_HEADER, None)
-        if not terms.stream and length is not None and length <= MAX_HELD_BYTES:
+        if not terms.stream and length is not None and length <= MAX_BUFFERED_BYTES:
             body = await upstream.read()
             return web.Response(status=upstream.status, headers=headers, body=body)
-        return await self._stream_back(request, upstream, headers)
+        return await self._stream_answer(request, upstream, headers)
 
-    async def _stream_back(
+    async def _stream_answer(
         self, request: web.Request, upstream: aiohttp.ClientResponse, headers: CIMultiDict[str]
     ) -> web.StreamResponse:
-        """Pass pieces on as the caller takes them; a cut one cuts the caller too."""
+        """Stream the answer to the caller; abort the connection if the answer breaks off.
+
+        Reading from the executor keeps pace with the caller.
+        """
         answer = web.StreamResponse(status=upstream.status, headers=headers)
         await answer.prepare(request)
         try:
-            async for piece in upstream.content.iter_chunked(PIECE_BYTES):
-                await answer.write(piece)
+            async for chunk in upstream.content.iter_chunked(CHUNK_BYTES):
+                await answer.write(chunk)
         except (aiohttp.ClientError, TimeoutError, OSError):
             if request.transport is not None:
                 request.transport.abort()
@@ -378,6 +392,6 @@
 
 
 def _raw_tail(request: web.Request) -> str:
-    """Return path and query after the service's name, byte for byte as they came."""
-    path, mark, query = request.raw_path.partition("?")
-    return "/" + path.split("/", 3)[3] + mark + query
+    """Return path and query after the service name, without decoding them."""
+    path, separator, query = request.raw_path.partition("?")
+    return "/" + path.split("/", 3)[3] + separator + query
--- a/src/linkspan/gateway/request_terms.py
+++ b/src/linkspan/gateway/request_terms.py
@@ -1,4 +1,4 @@
-"""What a caller's headers ask for: deadline, repeatability, key."""
+"""Parses the request headers that set deadline, repeatability, idempotency key and streaming."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     from linkspan.config.document import ServiceConfig
 
 DEADLINE_HEADER = "Linkspan-Deadline-Ms"
-"""Milliseconds within which the answer is of use; sent on as what is left."""
+"""Milliseconds until the deadline; the forwarded request carries the remaining time."""
 
 REPEATABLE_HEADER = "Linkspan-Repeatable"
-"""``yes``, ``no``, or absent: then GET, HEAD, OPTIONS, PUT and DELETE may be repeated."""
+"""``yes`` or ``no``; without it GET, HEAD, OPTIONS, PUT and DELETE are repeatable."""
 
 KEY_HEADER = "Idempotency-Key"
-"""Names a request that must not be repeated, the same in every resend."""
+"""Identifies a non-repeatable request; the caller sends the same key in every retry."""
 
 STREAM_HEADER = "Linkspan-Stream"
-"""``yes`` for a feed: passed on piece by piece, without a deadline."""
+"""``yes`` to stream request and answer in chunks and without a total timeout."""
 
 _REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -41,41 +41,43 @@
         "content-length",
     }
 )
-"""Headers that belong to one connection and are not passed on."""
+"""Headers that apply to one connection and are not forwarded."""
 
 
 class RequestTerms(NamedTuple):
-    """How a request may be handled.
+    """Conditions under which a request is handled.
 
     Attributes:
-        budget_s: Seconds until its deadline.
-        repeatable: Whether it may be sent again after a failure.
-        key: Key under which it runs at most once, empty for no such bound.
-        stream: Whether its body or answer is a feed.
+        timeout_s: Seconds from arrival until the deadline.
+        repeatable: Whether the request may be sent again after a failure.
+        key: Key under which the request runs at most once; empty if it has no such limit.
+        stream: Whether request body and answer are streamed.
     """
 
-    budget_s: float
+    timeout_s: float
     repeatable: bool
     key: str
     stream: bool
 
 
 def request_terms(method: str, headers: Mapping[str, str], service: ServiceConfig) -> RequestTerms:
-    """Return the terms of a request.
+    """Parse the terms of a request from its headers.
 
     Raises:
-        InvalidInput: A header is malformed, or they contradict each other.
+        InvalidInput: A header is malformed, or the headers contradict each other.
     """
-    mark = _choice(headers, REPEATABLE_HEADER, ("yes", "no", ""))
-    key = headers.get(KEY_HEADER, "") if mark == "no" else ""
-    if mark == "no":
-        _check_once(method, key)
-    repeatable = mark == "yes" or (mark == "" and method in _REPEATABLE_METHODS)
-    stream = _choice(headers, STREAM_HEADER, ("yes", "no", "")) == "yes"
-    return RequestTerms(_budget(headers, service), repeatable, key, stream)
-
-
-def _check_once(method: str, key: str) -> None:
+    repeatable_header = _parse_choice(headers, REPEATABLE_HEADER, ("yes", "no", ""))
+    key = headers.get(KEY_HEADER, "") if repeatable_header == "no" else ""
+    if repeatable_header == "no":
+        _check_key(method, key)
+    repeatable = repeatable_header == "yes" or (
+        repeatable_header == "" and method in _REPEATABLE_METHODS
+    )
+    stream = _parse_choice(headers, STREAM_HEADER, ("yes", "no", "")) == "yes"
+    return RequestTerms(_parse_timeout_s(headers, service), repeatable, key, stream)
+
+
+def _check_key(method: str, key: str) -> None:
     if method not in ("POST", "PATCH"):
         raise InvalidInput(REPEATABLE_HEADER, f"'no' with {method}", "use POST or PATCH")
     if not key or len(key) > 128 or not key.isascii() or not key.isprintable():
@@ -83,14 +85,14 @@
         raise InvalidInput(KEY_HEADER, "missing or malformed", remedy)
 
 
-def _choice(headers: Mapping[str, str], name: str, allowed: tuple[str, ...]) -> str:
+def _parse_choice(headers: Mapping[str, str], name: str, allowed: tuple[str, ...]) -> str:
     value = headers.get(name, "").strip().lower()
     if value not in allowed:
         raise InvalidInput(name, f"{value!r:.40}", "give yes or no, or leave it out")
     return value
 
 
-def _budget(headers: Mapping[str, str], service: ServiceConfig) -> float:
+def _parse_timeout_s(headers: Mapping[str, str], service: ServiceConfig) -> float:
     text = headers.get(DEADLINE_HEADER)
     if text is None:
         return service.deadline_ms / 1000
@@ -103,11 +105,13 @@
     return int(text) / 1000
 
 
-def passed_on(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """Return the headers that go on to the other side, repeated ones too.
+def forwarded_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
+    """Return the end-to-end headers of a message, including repeated ones.
 
-    Headers that ``Connection`` names belong to one connection as well.
+    Headers listed in ``Connection`` are hop-by-hop headers, too.
     """
-    named = {part.strip().lower() for part in headers.get("Connection", "").split(",")}
-    left_out = HOP_HEADERS | named
-    return CIMultiDict((n, v) for n, v in headers.items() if n.lower() not in left_out)
+    connection_headers = {part.strip().lower() for part in headers.get("Connection", "").split(",")}
+    excluded = HOP_BY_HOP_HEADERS | connection_headers
+    return CIMultiDict(
+        (name, value) for name, value in headers.items() if name.lower() not in excluded
+    )
--- a/src/linkspan/gateway/router.py
+++ b/src/linkspan/gateway/router.py
@@ -1,4 +1,4 @@
-"""The pools of all services, and the requests that wait in them."""
+"""Owns the service pools of a gateway and resolves the requests queued in them."""
 
 from __future__ import annotations
 
@@ -20,11 +20,13 @@
     from linkspan.peer.messages import Heartbeat
     from linkspan.services.ports import Host
 
-DRAIN_TICK_S = 0.02
-"""Longest time that an expired request waits for its refusal."""
+QUEUE_POLL_INTERVAL_S = 0.02
+"""Interval at which queued requests are checked; bounds the delay of a refusal."""
 
-IDLE_TICK_S = 0.25
-"""Time between looks while nothing waits; well under the shares' freshness."""
+IDLE_POLL_INTERVAL_S = 0.25
+"""Interval of :meth:`Router.run` without queued requests.
+
+Well below ``fresh_s`` of the share table, which treats longer gaps as a freeze."""
 
 DEFAULT_PICKER = "shortest_wait"
 
@@ -33,11 +35,11 @@
     """Owns the service pools of one gateway.
 
     Args:
-        name: This gateway.
-        address: ``ip:port`` of its inner listener.
-        hall: Its hall; only executors of the hall are used.
-        takeover_s: Time for which a gateway must be silent and off the host
-            list before its slots are divided anew.
+        name: Name of this gateway.
+        address: ``ip:port`` of the gateway's peer listener.
+        hall: Hall of the gateway; only executors of this hall are used.
+        takeover_s: Time for which a gateway must be silent and missing from the
+            host list before its slots are redistributed.
     """
 
     def __init__(self, name: str, address: str, hall: str, *, takeover_s: float = 15.0) -> None:
@@ -45,13 +47,13 @@
         self.pools: dict[str, ServicePool] = {}
         self._name = name
         self._address = address
-        self._refused: dict[str, float] = {}
+        self._refused_at: dict[str, float] = {}
         self._hall = hall
         self._takeover_s = takeover_s
         self._tickets = count(1)
         self._has_queued = asyncio.Event()
-        self._waiting: dict[int, asyncio.Future[Assigned | Refused]] = {}
-        self._heard: dict[str, tuple[Heartbeat, float]] = {}
+        self._waiters: dict[int, asyncio.Future[Assigned | Refused]] = {}
+        self._heartbeats: dict[str, tuple[Heartbeat, float]] = {}
         self._hosts: tuple[Host, ...] = ()
 
     def __repr__(self) -> str:
@@ -59,75 +61,75 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests of all services that are at executors."""
+        """Number of requests of all services in flight at executors."""
         return sum(pool.in_flight for pool in self.pools.values())
 
     @property
-    def served(self) -> tuple[str, ...]:
-        """The services that have an executor here that takes requests."""
+    def served_services(self) -> tuple[str, ...]:
+        """Names of the services with at least one executor that is not leaving."""
         return tuple(sorted(name for name, pool in self.pools.items() if pool.has_executor))
 
-    async def enter(self, pool: ServicePool, budget_s: float) -> Assigned | Refused:
-        """Return the executor for a request, waiting for a slot if need be."""
+    async def assign(self, pool: ServicePool, timeout_s: float) -> Assigned | Refused:
+        """Assign a request to an executor or refuse it; wait in the queue while no slot is free."""
         now = time.monotonic()
         ticket = next(self._tickets)
-        result = pool.arrive(ticket, now + budget_s, now)
+        result = pool.arrive(ticket, now + timeout_s, now)
         if not isinstance(result, Queued):
             return result
-        turn: asyncio.Future[Assigned | Refused] = asyncio.get_running_loop().create_future()
-        self._waiting[ticket] = turn
+        assignment: asyncio.Future[Assigned | Refused] = asyncio.get_running_loop().create_future()
+        self._waiters[ticket] = assignment
         self._has_queued.set()
         try:
-            return await turn
+            return await assignment
         except asyncio.CancelledError:
-            self._give_back(pool, ticket, turn)
+            self._cancel_assignment(pool, ticket, assignment)
             raise
         finally:
-            self._waiting.pop(ticket, None)
+            self._waiters.pop(ticket, None)
 
-    def _give_back(
-        self, pool: ServicePool, ticket: int, turn: asyncio.Future[Assigned | Refused]
+    def _cancel_assignment(
+        self, pool: ServicePool, ticket: int, assignment: asyncio.Future[Assigned | Refused]
     ) -> None:
         pool.remove_queued(ticket)
-        if turn.done() and not turn.cancelled():
-            result = turn.result()
+        if assignment.done() and not assignment.cancelled():
+            result = assignment.result()
             if isinstance(result, Assigned):
                 pool.dropped(result.executor, time.monotonic())
 
-    def wake(self, pool: ServicePool) -> None:
-        """Hand free slots to waiting requests, and refuse those past their time."""
+    def process_queue(self, pool: ServicePool) -> None:
+        """Assign free slots to queued requests, and refuse requests past their deadline."""
         for result in pool.drain(time.monotonic()):
-            turn = self._waiting.get(result.ticket)
-            if turn is not None and not turn.done():
-                turn.set_result(result)
+            assignment = self._waiters.get(result.ticket)
+            if assignment is not None and not assignment.done():
+                assignment.set_result(result)
             elif isinstance(result, Assigned):
                 pool.dropped(result.executor, time.monotonic())
 
     async def run(self) -> None:
-        """Refuse requests whose time is over, and keep the shares awake."""
+        """Process the queues and tick the share table until cancelled."""
         while True:
             self.shares.tick(time.monotonic())
             for pool in self.pools.values():
-                self.wake(pool)
+                self.process_queue(pool)
             if any(pool.queued for pool in self.pools.values()):
-                await asyncio.sleep(DRAIN_TICK_S)
+                await asyncio.sleep(QUEUE_POLL_INTERVAL_S)
                 continue
             self._has_queued.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._has_queued.wait(), IDLE_TICK_S)
+                await asyncio.wait_for(self._has_queued.wait(), IDLE_POLL_INTERVAL_S)
 
-    # What peers, the platform and operators say.
+    # Updates from the configuration, the host list and peers.
 
     def on_config(self, state: ConfigState) -> None:
-        """Take over the services of a configuration."""
+        """Apply the services of a configuration."""
         document = state.document
-        wanted: dict[str, ServiceConfig] = {
+        services: dict[str, ServiceConfig] = {
             name: service_of(name, value)
             for key, value in document.items()
             for section, _, name in [key.partition("/")]
             if section == "services"
         }
-        for name, service in wanted.items():
+        for name, service in services.items():
             picker = PICKERS.make(document.get(f"routing/{name}", DEFAULT_PICKER))
             if name in self.pools:
                 self.pools[name].configure(service, picker)
@@ -135,65 +137,76 @@
                 self.pools[name] = ServicePool(
                     service, self.shares.share, picker=picker, rng=random.Random()
                 )
-        for name in self.pools.keys() - wanted.keys():
+        for name in self.pools.keys() - services.keys():
             if not self.pools[name].in_flight:
                 del self.pools[name]
         self._set_executors()
 
     def on_hosts(self, hosts: tuple[Host, ...]) -> None:
-        """Take over the platform's host list."""
+        """Apply the platform's host list; an empty list is ignored."""
         if not hosts:
             return
         self._hosts = hosts
         self._set_executors()
         self._set_members(time.monotonic())
 
-    def on_beat(self, beat: Heartbeat) -> None:
-        """Take in a gateway's heartbeat."""
-        if beat.role != "gateway" or beat.hall != self._hall:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Apply a heartbeat of a gateway in this hall."""
+        if heartbeat.role != "gateway" or heartbeat.hall != self._hall:
             return
         now = time.monotonic()
-        self._heard[beat.name] = (beat, now)
-        self._refused.pop(beat.address, None)
+        self._heartbeats[heartbeat.name] = (heartbeat, now)
+        self._refused_at.pop(heartbeat.address, None)
         self._set_members(now)
-        heard = {name: division for name, division in beat.heard}
-        self.shares.hear(beat.name, Division(frozenset(beat.members), heard))
+        confirmed = {name: digest for name, digest in heartbeat.heard}
+        self.shares.hear(heartbeat.name, Division(frozenset(heartbeat.members), confirmed))
 
-    def on_gone(self, address: str) -> None:
-        """Divide without the gateway at an address where nothing listens any more."""
+    def on_connection_refused(self, address: str) -> None:
+        """Remove the gateway whose address refuses connections from the division."""
         now = time.monotonic()
-        self._refused[address] = now
-        self._heard = {n: h for n, h in self._heard.items() if h[0].address != address}
+        self._refused_at[address] = now
+        self._heartbeats = {
+            name: entry for name, entry in self._heartbeats.items() if entry[0].address != address
+        }
         self._set_members(now)
 
-    def describe(self) -> tuple[tuple[str, ...], tuple[Heard, ...]]:
-        """Return our members and the divisions that we confirm, for heartbeats."""
+    def describe_division(self) -> tuple[tuple[str, ...], tuple[Heard, ...]]:
+        """Return this gateway's members and the divisions it confirms, for its heartbeat."""
         now = time.monotonic()
         fits = all(pool.fits_shares(now) for pool in self.pools.values())
-        heard = tuple(Heard(n, d) for n, d in self.shares.heard(fits=fits).items())
+        heard = tuple(Heard(name, digest) for name, digest in self.shares.heard(fits=fits).items())
         return tuple(sorted(self.shares.members)), heard
 
     def _set_executors(self) -> None:
         for name, pool in self.pools.items():
-            mine = [
-                h
-                for h in self._hosts
-                if h.role == "executor" and h.service == name and h.hall == self._hall
+            own_hall_executors = [
+                host
+                for host in self._hosts
+                if host.role == "executor" and host.service == name and host.hall == self._hall
             ]
-            leaving = frozenset(host.name for host in mine if host.leaving)
-            pool.set_executors({host.name: host.address for host in mine}, leaving)
+            leaving = frozenset(host.name for host in own_hall_executors if host.leaving)
+            pool.set_executors({host.name: host.address for host in own_hall_executors}, leaving)
 
     def _set_members(self, now: float) -> None:
-        """Divide among those heard of and those listed, but for the proven gone.
+        """Divide the slots among the gateways known by heartbeat or host list.
 
-        One that is listed but was never heard of has no name yet; its address
-        stands for it, so that nobody uses its slots until it speaks.
+        Gateways whose address recently refused a connection are left out. A listed
+        gateway without a heartbeat has no known name; its address takes its place, so
+        that no other gateway uses its slots before its first heartbeat.
         """
-        listed = {h.address for h in self._hosts if h.role == "gateway" and h.hall == self._hall}
-        for name, (beat, heard) in list(self._heard.items()):
-            if beat.address not in listed and now - heard > self._takeover_s:
-                del self._heard[name]
-        known = {beat.address for beat, _ in self._heard.values()} | {self._address}
-        gone = {a for a, at in self._refused.items() if now - at <= self._takeover_s}
-        if self._hosts or self._heard:
-            self.shares.set_members([*self._heard, *(listed - known - gone)])
+        listed = {
+            host.address
+            for host in self._hosts
+            if host.role == "gateway" and host.hall == self._hall
+        }
+        for name, (heartbeat, heard_at) in list(self._heartbeats.items()):
+            if heartbeat.address not in listed and now - heard_at > self._takeover_s:
+                del self._heartbeats[name]
+        known = {heartbeat.address for heartbeat, _ in self._heartbeats.values()} | {self._address}
+        refused = {
+            address
+            for address, refused_at in self._refused_at.items()
+            if now - refused_at <= self._takeover_s
+        }
+        if self._hosts or self._heartbeats:
+            self.shares.set_members([*self._heartbeats, *(listed - known - refused)])
--- a/tests/gateway/test_requests_in.py
+++ b/tests/gateway/test_requests_in.py
@@ -12,7 +12,7 @@
 from linkspan.errors import InvalidInput, LinkspanError
 from linkspan.gateway.job_request import parse_job
 from linkspan.gateway.operators import parse_change
-from linkspan.gateway.request_terms import RequestTerms, passed_on, request_terms
+from linkspan.gateway.request_terms import RequestTerms, forwarded_headers, request_terms
 from linkspan.model.job import JobSpec, Priority
 from linkspan.model.resources import Resources
 
@@ -139,4 +139,4 @@
 
 def test_headers_of_one_connection_stay_there() -> None:
     headers = {"Connection": "close, X-Own", "X-Own": "1", "TE": "x", "X-Other": "2"}
-    assert passed_on(headers) == {"X-Other": "2"}
+    assert forwarded_headers(headers) == {"X-Other": "2"}
