--- a/src/linkspan/scheduler/__init__.py
+++ b/src/linkspan/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler: pure decisions in the core, and the daemon around it."""
+"""The scheduler: a core that decides without I/O, and the daemon that runs it."""
--- a/src/linkspan/scheduler/append_budget.py
+++ b/src/linkspan/scheduler/append_budget.py
@@ -1,4 +1,4 @@
-"""This scheduler's part of the log's appends, with backoff after failures."""
+"""Rate limit for this scheduler's appends to the log, with backoff after failures."""
 
 from __future__ import annotations
 
@@ -6,44 +6,44 @@
 
 
 class AppendBudget:
-    """A token bucket of appends.
+    """A token bucket that limits appends to this scheduler's share of the hall's rate.
 
     Args:
-        per_s: Appends a second for the whole hall.
-        rng: Source of the backoff's jitter.
+        per_s: Appends per second for the whole hall.
+        rng: Random generator for the backoff jitter.
     """
 
     MAX_BACKOFF_S = 5.0
 
     def __init__(self, per_s: float, *, rng: random.Random | None = None) -> None:
-        self._per_s = per_s
+        self._appends_per_s = per_s
         self._random = rng or random.Random()
         self._tokens = 1.0
-        self._filled = 0.0
+        self._refilled_at = 0.0
         self._failures = 0
         self._blocked_until = 0.0
 
     def __repr__(self) -> str:
-        return f"AppendBudget(per_s={self._per_s}, failures={self._failures})"
+        return f"AppendBudget(per_s={self._appends_per_s}, failures={self._failures})"
 
     def allows(self, now: float, schedulers: int) -> bool:
-        """Return whether an append may be made now.
+        """Return whether an append is allowed now.
 
         Args:
             now: Time in seconds.
-            schedulers: Schedulers that share the hall's part.
+            schedulers: Number of schedulers that share the hall's rate.
         """
-        rate = self._per_s / max(schedulers, 1)
-        self._tokens = min(2.0, self._tokens + (now - self._filled) * rate)
-        self._filled = now
+        rate = self._appends_per_s / max(schedulers, 1)
+        self._tokens = min(2.0, self._tokens + (now - self._refilled_at) * rate)
+        self._refilled_at = now
         return self._tokens >= 1.0 and now >= self._blocked_until
 
     def spend(self) -> None:
-        """Count an append."""
+        """Take the token of one append."""
         self._tokens -= 1.0
 
-    def finished(self, now: float, *, answered: bool) -> None:
-        """Note an append's end; failures in a row put the next one off."""
+    def on_append_finished(self, now: float, *, answered: bool) -> None:
+        """Record the end of an append; consecutive failures delay the next one exponentially."""
         if answered:
             self._failures = 0
             return
--- a/src/linkspan/scheduler/caller_asks.py
+++ b/src/linkspan/scheduler/caller_asks.py
@@ -1,4 +1,4 @@
-"""What callers asked for, until the ledger shows it."""
+"""Submissions and cancellations that callers requested and the ledger does not show yet."""
 
 from __future__ import annotations
 
@@ -12,45 +12,46 @@
     from linkspan.ledger.ledger import Ledger
 
 CallerAsk: TypeAlias = Submitted | Cancelled
-"""A decision that starts with a caller and not with the fold."""
+"""A decision that a caller requests, and that the ledger alone does not lead to."""
 
 
 class CallerAsks:
-    """Submissions and cancellations whose records may have got lost.
+    """Pending caller requests, resent until their records show up in the log.
 
-    What the fold calls for is decided anew after a lost append; only what
-    callers ask for has to be remembered.
+    After a lost append the scheduler derives all other decisions from the ledger
+    again. Requests of callers are not in the ledger, so they are kept here.
 
     Args:
-        resend_s: How long a lost one is appended again. Afterwards the job may
-            be absent from the ledger for good: who asks is told so then.
+        resend_s: Time in seconds during which a lost request is appended again.
+            Afterwards the job may stay absent from the ledger, and queries for
+            it are answered with "absent".
     """
 
     def __init__(self, resend_s: float) -> None:
         self._resend_s = resend_s
-        self._until: dict[CallerAsk, float] = {}
+        self._resend_until: dict[CallerAsk, float] = {}
 
     def __repr__(self) -> str:
-        return f"CallerAsks({len(self._until)})"
+        return f"CallerAsks({len(self._resend_until)})"
 
-    def add(self, ask: CallerAsk, now: float) -> None:
-        """Remember what a caller asks for at this time, in seconds."""
-        self._until[ask] = now + self._resend_s
+    def add(self, request: CallerAsk, now: float) -> None:
+        """Keep a request that a caller made at ``now``, in seconds."""
+        self._resend_until[request] = now + self._resend_s
 
-    def open(self, ledger: Ledger, now: float) -> Iterator[CallerAsk]:
-        """Yield what the ledger does not show yet, and forget the rest."""
-        for ask, until in list(self._until.items()):
-            if now > until or _is_shown(ask, ledger):
-                del self._until[ask]
+    def pending(self, ledger: Ledger, now: float) -> Iterator[CallerAsk]:
+        """Yield the requests that the ledger does not show yet; drop all others."""
+        for request, until in list(self._resend_until.items()):
+            if now > until or _is_in_ledger(request, ledger):
+                del self._resend_until[request]
             else:
-                yield ask
+                yield request
 
 
-def _is_shown(ask: CallerAsk, ledger: Ledger) -> bool:
-    if isinstance(ask, Submitted):
-        job_id = ask.spec.job_id
+def _is_in_ledger(request: CallerAsk, ledger: Ledger) -> bool:
+    if isinstance(request, Submitted):
+        job_id = request.spec.job_id
         return job_id in ledger.tombstones or ledger.spec_of(job_id) is not None
-    number = ledger.job_numbers.get(ask.job_id)
+    number = ledger.job_numbers.get(request.job_id)
     if number is not None:
         return ledger.jobs[number].cancelled
-    return ask.job_id in ledger.tombstones or ask.job_id in ledger.finished
+    return request.job_id in ledger.tombstones or request.job_id in ledger.finished
--- a/src/linkspan/scheduler/daemon.py
+++ b/src/linkspan/scheduler/daemon.py
@@ -1,4 +1,4 @@
-"""The scheduler daemon: the core's task, and the tasks that feed it."""
+"""The scheduler daemon: the asyncio task that owns the core, and the tasks that do its I/O."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 from linkspan.scheduler.append_budget import AppendBudget
 from linkspan.scheduler.core import SchedulerCore, Step
 from linkspan.scheduler.history import History
+from linkspan.scheduler.job_answers import cancel_answer, submit_answer
 from linkspan.scheduler.messages import (
-    Appended,
-    Beat,
-    CancelAsked,
-    Input,
+    AppendFinished,
+    CancelRequested,
+    CoreMessage,
+    HeartbeatReceived,
+    JobsTakenOver,
+    LedgerRecovered,
     PageRead,
-    Recovered,
-    Reported,
-    Rescued,
-    SubmitAsked,
+    ReportReceived,
+    SubmitRequested,
 )
 from linkspan.scheduler.questions import Questions
 from linkspan.scheduler.rescue_task import RescueTask
@@ -40,7 +41,6 @@
 from linkspan.scheduler.snapshots import Snapshots, ledger_stream
 from linkspan.scheduler.status import status_of
 from linkspan.scheduler.timing import Timing
-from linkspan.scheduler.verdicts import cancel_verdict, submit_verdict
 from linkspan.services.http import HttpWorkers
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
     from linkspan.settings import SchedulerSettings
 
 TICK_S = 0.1
-"""Longest pause between two steps."""
+"""Maximum time between two steps of the core."""
 
 
 class SchedulerDaemon:
@@ -75,18 +75,18 @@
             peer_silence_s=settings.peer_silence_s,
             exchange_s=settings.exchange_s,
         )
-        self._inbox: asyncio.Queue[Input] = asyncio.Queue()
+        self._inbox: asyncio.Queue[CoreMessage] = asyncio.Queue()
         self._placer_name = DEFAULT_PLACER
         self._placer = PLACERS.make(DEFAULT_PLACER)
         self._core: SchedulerCore | None = None
         self._budget = AppendBudget(settings.appends_per_s)
         self._history = History()
-        self._addresses: dict[str, str] = {}
-        self._busy: set[str] = set()
-        self._pending: list[tuple[Callable[[Ledger], Answer | None], asyncio.Future[Answer]]] = []
+        self._worker_addresses: dict[str, str] = {}
+        self._in_exchange: set[str] = set()
+        self._waiting: list[tuple[Callable[[Ledger], Answer | None], asyncio.Future[Answer]]] = []
         self._snapshots = Snapshots(self._node, settings)
-        self._led = False
-        self._told: dict[int, Obstacle] = {}
+        self._was_leader = False
+        self._logged_obstacles: dict[int, Obstacle] = {}
 
     def __repr__(self) -> str:
         return f"SchedulerDaemon({self._node.name!r}, {self._core!r})"
@@ -98,9 +98,9 @@
         self._core = SchedulerCore(
             node.name, Ledger(self._settings.hall), self._placer, timing=self._timing
         )
-        node.complete_heartbeat = self._describe
-        Questions(self._core, self._inbox, self._history).answer_for(node)
-        node.heartbeats.subscribe(self._on_beat)
+        node.complete_heartbeat = self._complete_heartbeat
+        Questions(self._core, self._inbox, self._history).register(node)
+        node.heartbeats.subscribe(self._on_heartbeat)
         node.host_lists.subscribe(self._on_hosts)
         node.config_states.subscribe(self._on_config)
         app = make_operator_app(node, self._reasons_not_ready)
@@ -112,17 +112,17 @@
         rescue = RescueTask(
             node,
             self._core,
-            lambda taken: self._inbox.put_nowait(Rescued(tuple(taken))),
+            lambda taken: self._inbox.put_nowait(JobsTakenOver(tuple(taken))),
             silence_s=self._settings.hall_silence_s,
         )
         node.spawn(rescue.run())
         await node.wait_for_stop()
-        await self._hand_over(self._core)
+        await self._leave_hall(self._core)
         await runner.cleanup()
         return await node.close()
 
-    async def _hand_over(self, core: SchedulerCore) -> None:
-        """Tell the ledger that this scheduler renews nothing any more."""
+    async def _leave_hall(self, core: SchedulerCore) -> None:
+        """Record in the ledger that this scheduler stops renewing leases."""
         core.leave()
         deadline = time.monotonic() + 2 * self._timing.append_timeout_s
         while core.has_joined and time.monotonic() < deadline:
@@ -138,105 +138,109 @@
             reasons.append("not joined in the ledger yet")
         return reasons
 
-    # The core's task.
+    # The task that owns the core.
 
     async def _run_core(self, core: SchedulerCore) -> None:
         while True:
-            await self._take_inputs(core)
+            await self._handle_messages(core)
             now = time.monotonic()
             started = time.perf_counter()
             live = len(core.live_schedulers(now))
             step = core.step(now, may_append=self._budget.allows(now, live))
             self._node.metrics.pass_seconds.observe({}, time.perf_counter() - started)
-            self._carry_out(core, step)
-            self._answer_pending(core)
-            self._log_pass(core, now)
+            self._execute(core, step)
+            self._send_answers(core)
+            self._log_step(core, now)
 
-    async def _take_inputs(self, core: SchedulerCore) -> None:
+    async def _handle_messages(self, core: SchedulerCore) -> None:
         try:
             async with asyncio.timeout(TICK_S):
-                self._take(await self._inbox.get(), core)
+                self._handle(await self._inbox.get(), core)
         except TimeoutError:
             return
         while not self._inbox.empty():
-            self._take(self._inbox.get_nowait(), core)
+            self._handle(self._inbox.get_nowait(), core)
 
     @singledispatchmethod
-    def _take(self, message: Any, core: SchedulerCore) -> None:
-        raise TypeError(f"no handler for {message!r}")
+    def _handle(self, message: Any, core: SchedulerCore) -> None:
+        raise TypeError(f"no handler for message {message!r}")
 
-    @_take.register
+    @_handle.register
     def _(self, message: PageRead, core: SchedulerCore) -> None:
         now = time.monotonic()
         own = core.on_records(
-            message.entries, now, end=message.end, began=message.began, each=self._note_record
+            message.entries,
+            now,
+            end=message.end,
+            read_started=message.started,
+            on_record=self._note_record,
         )
-        for decision, verdict in own:
-            self._log_verdict(decision, verdict)
+        for decision, result in own:
+            self._log_result(decision, result)
 
-    @_take.register
-    def _(self, message: Recovered, core: SchedulerCore) -> None:
+    @_handle.register
+    def _(self, message: LedgerRecovered, core: SchedulerCore) -> None:
         core.on_snapshot(message.ledger, time.monotonic())
 
-    @_take.register
-    def _(self, message: Reported, core: SchedulerCore) -> None:
-        core.on_report(message.report, message.began)
+    @_handle.register
+    def _(self, message: ReportReceived, core: SchedulerCore) -> None:
+        core.on_report(message.report, message.started)
 
-    @_take.register
-    def _(self, message: Appended, core: SchedulerCore) -> None:
+    @_handle.register
+    def _(self, message: AppendFinished, core: SchedulerCore) -> None:
         core.append_done()
-        self._budget.finished(time.monotonic(), answered=message.answered)
+        self._budget.on_append_finished(time.monotonic(), answered=message.answered)
 
-    @_take.register
-    def _(self, message: Beat, core: SchedulerCore) -> None:
-        beat = message.heartbeat
-        core.on_peer(beat.name, beat.applied, time.monotonic(), unfit=beat.unfit)
+    @_handle.register
+    def _(self, message: HeartbeatReceived, core: SchedulerCore) -> None:
+        heartbeat = message.heartbeat
+        core.on_peer(heartbeat.name, heartbeat.applied, time.monotonic(), unfit=heartbeat.unfit)
 
-    @_take.register
-    def _(self, message: SubmitAsked, core: SchedulerCore) -> None:
+    @_handle.register
+    def _(self, message: SubmitRequested, core: SchedulerCore) -> None:
         spec = message.spec
-        if submit_verdict(core.ledger, spec) is None:
+        if submit_answer(core.ledger, spec) is None:
             core.submit(spec, time.monotonic())
-        self._pending.append((lambda ledger: submit_verdict(ledger, spec), message.answer))
+        self._waiting.append((lambda ledger: submit_answer(ledger, spec), message.answer))
         self._node.events.write(
             Event.JOB_SUBMITTED, job=spec.job_id, tasks=spec.count, priority=spec.priority.name
         )
 
-    @_take.register
-    def _(self, message: CancelAsked, core: SchedulerCore) -> None:
+    @_handle.register
+    def _(self, message: CancelRequested, core: SchedulerCore) -> None:
         job_id = message.job_id
-        if cancel_verdict(core.ledger, job_id) is None:
+        if cancel_answer(core.ledger, job_id) is None:
             core.cancel(job_id, time.monotonic())
-        self._pending.append((lambda ledger: cancel_verdict(ledger, job_id), message.answer))
+        self._waiting.append((lambda ledger: cancel_answer(ledger, job_id), message.answer))
         self._node.events.write(Event.JOB_CANCELLED, job=job_id)
 
-    @_take.register
-    def _(self, message: Rescued, core: SchedulerCore) -> None:
+    @_handle.register
+    def _(self, message: JobsTakenOver, core: SchedulerCore) -> None:
         core.outbox.add(message.taken)
 
-    def _answer_pending(self, core: SchedulerCore) -> None:
-        waiting = []
-        for verdict_of, future in self._pending:
+    def _send_answers(self, core: SchedulerCore) -> None:
+        still_pending = []
+        for answer_of, future in self._waiting:
             if future.done():
                 continue
-            verdict = verdict_of(core.ledger)
-            if verdict is None:
-                waiting.append((verdict_of, future))
+            answer = answer_of(core.ledger)
+            if answer is None:
+                still_pending.append((answer_of, future))
             else:
-                future.set_result(verdict)
-        self._pending = waiting
+                future.set_result(answer)
+        self._waiting = still_pending
 
-    def _carry_out(self, core: SchedulerCore, step: Step) -> None:
+    def _execute(self, core: SchedulerCore, step: Step) -> None:
         if step.record is not None:
             self._budget.spend()
             self._node.spawn(self._append(step.record))
         for worker, orders in step.exchanges.items():
-            address = self._addresses.get(worker)
-            if address is not None and worker not in self._busy:
-                self._busy.add(worker)
+            address = self._worker_addresses.get(worker)
+            if address is not None and worker not in self._in_exchange:
+                self._in_exchange.add(worker)
                 self._node.spawn(self._exchange(worker, address, orders))
         if core.leads(time.monotonic()):
-            self._snapshots.begin_if_due(core.ledger)
+            self._snapshots.start_if_due(core.ledger)
 
     async def _append(self, record: Record) -> None:
         answered = False
@@ -248,23 +252,23 @@
             self._node.events.write(Event.APPEND_UNKNOWN, reason=str(error))
         result = "answered" if answered else "unknown"
         self._node.metrics.appends.inc({"stream": "ledger", "result": result})
-        self._inbox.put_nowait(Appended(answered))
+        self._inbox.put_nowait(AppendFinished(answered))
 
     async def _exchange(self, worker: str, address: str, orders: ExchangeRequest) -> None:
-        began = time.monotonic()
+        started = time.monotonic()
         result = "answered"
         try:
             workers: WorkerPort = HttpWorkers(self._node.session)
             report = await workers.exchange(address, orders)
-            self._inbox.put_nowait(Reported(report, began))
+            self._inbox.put_nowait(ReportReceived(report, started))
         except Unreachable as error:
             result = "silent"
             self._node.events.write(Event.WORKER_SILENT, worker=worker, reason=str(error))
         finally:
-            self._busy.discard(worker)
+            self._in_exchange.discard(worker)
         self._node.metrics.exchanges.inc({"result": result})
 
-    # What feeds the core.
+    # Input of the core.
 
     async def _tail_ledger(self) -> None:
         tail = LogTail(self._node.log, self._node.events, ledger_stream(self._settings.hall))
@@ -280,7 +284,7 @@
                 continue
             if page is None:
                 continue
-            entries = tuple((entry.offset, _decoded(entry.body)) for entry in page.entries)
+            entries = tuple((entry.offset, _decode_or_none(entry.body)) for entry in page.entries)
             start = entries[-1][0] + 1 if entries else start
             if recovery is None:
                 self._inbox.put_nowait(PageRead(entries, page.end, tail.read_started_at))
@@ -288,16 +292,16 @@
             recovery.feed((offset, record) for offset, record in entries if record is not None)
             if recovery.ledger is not None:
                 recovery.ledger.skip(start - 1)
-                self._inbox.put_nowait(Recovered(recovery.ledger))
+                self._inbox.put_nowait(LedgerRecovered(recovery.ledger))
                 recovery = None
 
-    def _on_beat(self, beat: Heartbeat) -> None:
-        if beat.role == "scheduler" and beat.hall == self._settings.hall:
-            self._inbox.put_nowait(Beat(beat))
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        if heartbeat.role == "scheduler" and heartbeat.hall == self._settings.hall:
+            self._inbox.put_nowait(HeartbeatReceived(heartbeat))
 
     def _on_hosts(self, hosts: tuple[Host, ...]) -> None:
         workers = [h for h in hosts if h.role == "worker" and h.hall == self._settings.hall]
-        self._addresses.update({host.name: host.address for host in workers})
+        self._worker_addresses.update({host.name: host.address for host in workers})
         if self._core is not None and workers:
             self._core.watch_workers([host.name for host in workers], time.monotonic())
             self._core.leaving = frozenset(host.name for host in workers if host.leaving)
@@ -319,28 +323,28 @@
         value = status_of(self._core, time.monotonic(), config_version=version)
         return json_answer(value)  # type: ignore[no-any-return]
 
-    def _describe(self, beat: Heartbeat) -> Heartbeat:
+    def _complete_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         core = self._core
         if core is None:
-            return beat
+            return heartbeat
         now = time.monotonic()
         unfit = tuple(sorted(core.unfit(now)))
-        return dataclasses.replace(beat, applied=core.ledger.next_offset, unfit=unfit)
+        return dataclasses.replace(heartbeat, applied=core.ledger.next_offset, unfit=unfit)
 
-    # Log lines.
+    # Log events.
 
-    def _note_record(self, offset: int, record: Record, verdicts: list[ApplyResult]) -> None:
+    def _note_record(self, offset: int, record: Record, results: list[ApplyResult]) -> None:
         if self._core is not None:
-            self._history.note_record(offset, record, verdicts, self._core.ledger)
+            self._history.note_record(offset, record, results, self._core.ledger)
 
-    def _log_pass(self, core: SchedulerCore, now: float) -> None:
+    def _log_step(self, core: SchedulerCore, now: float) -> None:
         metrics = self._node.metrics
         metrics.tail_age.set({}, max(0.0, now - core.tail_read))
         leads = core.leads(now)
-        if leads != self._led:
-            self._led = leads
+        if leads != self._was_leader:
+            self._was_leader = leads
             self._node.events.write(Event.LEAD_CHANGED, leads=leads)
-        for attempt, reason in core.take_reasons().items():
+        for attempt, reason in core.take_recall_reasons().items():
             self._node.events.write(Event.EVICTION, attempt=str(attempt), reason=reason)
         result = self._placer.take_result()
         if result is None:
@@ -360,33 +364,33 @@
             )
 
     def _log_obstacles(self, core: SchedulerCore, result: PassResult) -> None:
-        """Tell why jobs wait, once for each change of the reason."""
+        """Log why jobs wait, once per change of the reason."""
         for number, obstacle in result.obstacles.items():
-            if self._told.get(number) is not obstacle:
+            if self._logged_obstacles.get(number) is not obstacle:
                 job_id = core.ledger.jobs[number].spec.job_id
                 self._node.events.write(Event.NOT_PLACED, job=job_id, reason=obstacle.value)
-        self._told = dict(result.obstacles)
+        self._logged_obstacles = dict(result.obstacles)
 
-    def _log_verdict(self, decision: Any, verdict: ApplyResult) -> None:
+    def _log_result(self, decision: Any, result: ApplyResult) -> None:
         kind = type(decision).__name__
-        self._node.metrics.decisions.inc({"kind": kind, "verdict": verdict.name.lower()})
-        if verdict not in (ApplyResult.APPLIED, ApplyResult.DUPLICATE):
+        self._node.metrics.decisions.inc({"kind": kind, "verdict": result.name.lower()})
+        if result not in (ApplyResult.APPLIED, ApplyResult.DUPLICATE):
             self._node.events.write(
-                Event.DECISION_IGNORED, decision=repr(decision), reason=verdict.value
+                Event.DECISION_IGNORED, decision=repr(decision), reason=result.value
             )
         elif not isinstance(decision, (Placed, Submitted)):
-            event = _EVENTS.get(type(decision), Event.DECIDED)
+            event = _EVENT_OF_DECISION.get(type(decision), Event.DECIDED)
             self._node.events.write(event, decision=repr(decision))
 
 
-_EVENTS: dict[type, Event] = {
+_EVENT_OF_DECISION: dict[type, Event] = {
     Recalled: Event.RECALLED,
     Lapsed: Event.LAPSED,
     WorkerSeen: Event.WORKER_SEEN,
 }
 
 
-def _decoded(body: bytes) -> Record | None:
+def _decode_or_none(body: bytes) -> Record | None:
     try:
         return decode(body)
     except RecordError:
--- a/src/linkspan/scheduler/hall_peers.py
+++ b/src/linkspan/scheduler/hall_peers.py
@@ -1,4 +1,4 @@
-"""The other schedulers of the hall, as their heartbeats show them."""
+"""Liveness of the other schedulers of the hall, from their heartbeats."""
 
 from __future__ import annotations
 
@@ -16,54 +16,54 @@
 
 
 class HallPeers:
-    """Who is heard of, and what they say of workers.
+    """Tracks which peers are alive and which workers they report as unfit.
 
     Args:
-        name: This scheduler.
-        timing: Times that all schedulers of the hall keep to.
+        name: Name of this scheduler.
+        timing: Intervals and limits that all schedulers of the hall share.
     """
 
     def __init__(self, name: str, timing: Timing) -> None:
         self._name = name
         self._timing = timing
-        self._heard: dict[str, float] = {}
-        self._missed_since: dict[str, float] = {}
+        self._last_heartbeat: dict[str, float] = {}
+        self._silent_since: dict[str, float] = {}
         self._unfit: dict[str, frozenset[str]] = {}
 
     def __repr__(self) -> str:
-        return f"HallPeers({self._name!r}, heard={sorted(self._heard)})"
+        return f"HallPeers({self._name!r}, known={sorted(self._last_heartbeat)})"
 
-    def hear(self, scheduler: str, unfit: Iterable[str], now: float) -> None:
-        """Take in a heartbeat, with the workers that the peer finds unfit."""
-        self._heard[scheduler] = now
+    def on_heartbeat(self, scheduler: str, unfit: Iterable[str], now: float) -> None:
+        """Record a heartbeat, with the workers that the peer reports as unfit."""
+        self._last_heartbeat[scheduler] = now
         self._unfit[scheduler] = frozenset(unfit)
 
     def live(self, ledger: Ledger, now: float) -> list[str]:
-        """Return the joined schedulers that are heard of, this one included."""
-        heard = [name for name in self._alive(now) if name in ledger.schedulers]
-        return [self._name, *heard]
+        """Return the joined schedulers with recent heartbeats, and this scheduler."""
+        joined = [name for name in self._live_names(now) if name in ledger.schedulers]
+        return [self._name, *joined]
 
-    def told_unfit(self, now: float) -> frozenset[str]:
-        """Return the workers that a live peer finds unfit for new work."""
-        told = [self._unfit[name] for name in self._alive(now) if name in self._unfit]
-        return frozenset().union(*told)
+    def reported_unfit(self, now: float) -> frozenset[str]:
+        """Return the workers that a live peer reports as unfit for new work."""
+        reported = [self._unfit[name] for name in self._live_names(now) if name in self._unfit]
+        return frozenset().union(*reported)
 
     def expulsions(self, ledger: Ledger, proof: LapseProof, now: float) -> Iterator[Decision]:
-        """Yield records on peers that are silent for too long to be waited for.
+        """Yield records that expel silent peers, and that remove expelled ones after the wait.
 
-        A peer that was never heard of counts as silent from when this is first
-        asked, so that a scheduler that starts expels nobody.
+        The silence of a peer that never sent a heartbeat is measured from the first
+        call, so that a scheduler that has just started expels no peer.
         """
         for name in ledger.schedulers:
-            since = self._heard.get(name)
-            # Kept apart from heartbeats: a peer that is only missed is not alive.
-            silent = now - (self._missed_since.setdefault(name, now) if since is None else since)
-            if name != self._name and silent > self._timing.offline_renewal_s:
+            since = self._last_heartbeat.get(name)
+            # Kept apart from heartbeat times: a peer without heartbeats is not alive.
+            silence_s = now - (self._silent_since.setdefault(name, now) if since is None else since)
+            if name != self._name and silence_s > self._timing.offline_renewal_s:
                 yield Expelled(name)
         for name, offset in ledger.expelled.items():
             if proof.has_waited_out(offset, now):
                 yield Left(name)
 
-    def _alive(self, now: float) -> list[str]:
-        horizon = now - self._timing.peer_silence_s
-        return [n for n, at in self._heard.items() if at >= horizon and n != self._name]
+    def _live_names(self, now: float) -> list[str]:
+        oldest = now - self._timing.peer_silence_s
+        return [n for n, at in self._last_heartbeat.items() if at >= oldest and n != self._name]
--- a/src/linkspan/scheduler/history.py
+++ b/src/linkspan/scheduler/history.py
@@ -1,4 +1,4 @@
-"""What was decided about each job, for ``linkspan explain``."""
+"""Recent decisions about each job, for ``linkspan explain``."""
 
 from __future__ import annotations
 
@@ -20,60 +20,60 @@
     from linkspan.ledger.records import Decision, Record
     from linkspan.placement.placer import PassResult
 
-JOBS_KEPT = 1_000
-"""Jobs whose decisions are remembered."""
+MAX_JOBS = 1_000
+"""Jobs whose decisions are kept; the least recently changed job is dropped first."""
 
-LINES_KEPT = 32
-"""Decisions remembered of one job."""
+MAX_LINES_PER_JOB = 32
+"""Decisions kept per job; the oldest is dropped first."""
 
 
 class History:
-    """Latest decisions by job, in sentences."""
+    """Keeps the latest decisions of each job as sentences."""
 
     def __init__(self) -> None:
         self._lines: OrderedDict[str, deque[str]] = OrderedDict()
-        self._figures: dict[tuple[int, int], str] = {}
+        self._placement_costs: dict[tuple[int, int], str] = {}
 
     def __repr__(self) -> str:
         return f"History(jobs={len(self._lines)})"
 
-    def note_pass(self, result: PassResult) -> None:
-        """Remember the figures behind placements, until the ledger shows them."""
-        if len(self._figures) > 10_000:
-            self._figures.clear()
-        for line in result.placed:
+    def note_pass(self, placement_pass: PassResult) -> None:
+        """Keep the costs of placements until their records show up in the log."""
+        if len(self._placement_costs) > 10_000:
+            self._placement_costs.clear()
+        for line in placement_pass.placed:
             figures = f"least cost {line.cost:.3f} of {line.candidates} workers with room"
-            self._figures[line.task] = figures
+            self._placement_costs[line.task] = figures
 
     def note_record(
-        self, offset: int, record: Record, verdicts: list[ApplyResult], ledger: Ledger
+        self, offset: int, record: Record, results: list[ApplyResult], ledger: Ledger
     ) -> None:
-        """Remember what a record decided."""
-        for decision, verdict in zip(record.decisions, verdicts, strict=True):
-            job_id, text = self._sentence(decision, ledger)
+        """Add the decisions of a record to the histories of their jobs."""
+        for decision, result in zip(record.decisions, results, strict=True):
+            job_id, text = self._job_and_sentence(decision, ledger)
             if job_id:
-                result = "" if verdict.name == "APPLIED" else f", without effect: {verdict.value}"
-                self._add(job_id, f"offset {offset}, {record.writer}: {text}{result}")
+                suffix = "" if result.name == "APPLIED" else f", without effect: {result.value}"
+                self._add(job_id, f"offset {offset}, {record.writer}: {text}{suffix}")
 
     def lines(self, job_id: str) -> list[str]:
-        """Return what is remembered of a job, the oldest first."""
+        """Return the kept decisions of a job, oldest first."""
         return list(self._lines.get(job_id, ()))
 
     def _add(self, job_id: str, line: str) -> None:
-        lines = self._lines.setdefault(job_id, deque(maxlen=LINES_KEPT))
+        lines = self._lines.setdefault(job_id, deque(maxlen=MAX_LINES_PER_JOB))
         lines.append(line)
         self._lines.move_to_end(job_id)
-        if len(self._lines) > JOBS_KEPT:
+        if len(self._lines) > MAX_JOBS:
             self._lines.popitem(last=False)
 
-    def _sentence(self, decision: Decision, ledger: Ledger) -> tuple[str, str]:
+    def _job_and_sentence(self, decision: Decision, ledger: Ledger) -> tuple[str, str]:
         match decision:
             case Submitted(spec):
                 return spec.job_id, f"{spec.count} tasks were handed in"
             case Cancelled(job_id):
                 return job_id, "its cancellation was asked for"
             case Placed(attempt, worker):
-                figures = self._figures.pop(attempt.task, "figures are with its writer")
+                figures = self._placement_costs.pop(attempt.task, "figures are with its writer")
                 name = _worker_name(ledger, worker)
                 text = f"task {attempt.index} attempt {attempt.attempt} to {name}: {figures}"
                 return _job_id(ledger, attempt.job), text
@@ -105,13 +105,13 @@
 
 
 def explain(ledger: Ledger, history: History, obstacles: dict[int, Any], job_id: str) -> Any:
-    """Return why a job stands where it does, as a value for JSON.
+    """Return the state of a job and the decisions behind it, as a value for JSON.
 
     Args:
-        ledger: The fold.
-        history: What was decided.
-        obstacles: Why jobs have tasks left queued, by job number.
-        job_id: The job.
+        ledger: The hall's ledger.
+        history: The recent decisions.
+        obstacles: Reasons for which jobs have tasks left in the queue, by job number.
+        job_id: Id of the job.
     """
     counts = ledger.counts_of(job_id)
     number = ledger.job_numbers.get(job_id, 0)
--- a/src/linkspan/scheduler/verdicts.py
+++ b/src/linkspan/scheduler/job_answers.py
@@ -1,4 +1,4 @@
-"""Answers about jobs, from what the fold shows and from nothing else."""
+"""Answers to requests about jobs, derived from the ledger alone."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from linkspan.model.job import JobSpec
 
 
-def submit_verdict(ledger: Ledger, spec: JobSpec) -> Answer | None:
-    """Return the verdict on a submission, None while there is none."""
+def submit_answer(ledger: Ledger, spec: JobSpec) -> Answer | None:
+    """Return the answer to a submission, or None while the ledger does not decide it."""
     if spec.job_id in ledger.tombstones:
         return _refused(spec.job_id, "it was cancelled before it arrived; nothing of it will run")
     known = ledger.spec_of(spec.job_id)
@@ -25,8 +25,8 @@
     return Answer("accepted", _body(ledger, spec.job_id))
 
 
-def cancel_verdict(ledger: Ledger, job_id: str) -> Answer | None:
-    """Return the verdict on a cancellation, None while there is none."""
+def cancel_answer(ledger: Ledger, job_id: str) -> Answer | None:
+    """Return the answer to a cancellation, or None while the ledger does not decide it."""
     if job_id in ledger.tombstones:
         body = {"job_id": job_id, "not_run": "all", "message": "it never was and never will be run"}
         return Answer("accepted", orjson.dumps(body))
@@ -39,12 +39,12 @@
 
 
 def job_answer(ledger: Ledger, job_id: str, *, is_fresh: bool) -> Answer:
-    """Return where a job stands.
+    """Return the answer to a query for the state of a job.
 
     Args:
-        ledger: The fold.
-        job_id: The job.
-        is_fresh: Whether the fold had reached the log's end just now.
+        ledger: The hall's ledger.
+        job_id: Id of the job.
+        is_fresh: Whether the ledger was recently up to date with the log's end.
     """
     if job_id in ledger.tombstones:
         body = {"job_id": job_id, "state": "not run", "message": "cancelled before it arrived"}
@@ -77,7 +77,7 @@
 
 
 def _moved_to(ledger: Ledger, job_id: str) -> str:
-    """Return the hall that the job's other tasks are in, empty when that is forgotten."""
+    """Return the hall that has the job's other tasks, or "" when it is no longer recorded."""
     for handover in ledger.handed.values():
         if handover.taken.spec.job_id == job_id:
             return handover.hall
--- a/src/linkspan/scheduler/messages.py
+++ b/src/linkspan/scheduler/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the task that owns the scheduler's core."""
+"""Messages to the asyncio task that owns the scheduler's core."""
 
 from __future__ import annotations
 
@@ -15,65 +15,78 @@
 
 @dataclass(frozen=True, slots=True)
 class PageRead:
-    """Records were read; ``end`` is the log's end then, ``began`` our time."""
+    """A page of records was read.
+
+    Attributes:
+        entries: Offsets and records in log order; None for a record that cannot be decoded.
+        end: The log's end at the time of the read.
+        started: Local time in seconds when the read started.
+    """
 
     entries: tuple[tuple[int, Record | None], ...]
     end: int
-    began: float
+    started: float
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class LedgerRecovered:
     """The ledger was recovered from a snapshot after a gap."""
 
     ledger: Ledger
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
-    """A worker answered an exchange that began at ``began``, our time."""
+class ReportReceived:
+    """A worker answered an exchange that started at ``started``, in local seconds."""
 
     report: WorkerReport
-    began: float
+    started: float
 
 
 @dataclass(frozen=True, slots=True)
-class Appended:
-    """The append under way was answered, or was not."""
+class AppendFinished:
+    """The append in flight ended, with an answer of the log or without one."""
 
     answered: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class HeartbeatReceived:
     """A scheduler of this hall sent a heartbeat."""
 
     heartbeat: Heartbeat
 
 
 @dataclass(frozen=True, slots=True)
-class SubmitAsked:
-    """A gateway hands in a job and awaits the verdict."""
+class SubmitRequested:
+    """A gateway submits a job and waits for the answer."""
 
     spec: JobSpec
     answer: Future[Answer]
 
 
 @dataclass(frozen=True, slots=True)
-class CancelAsked:
-    """A gateway cancels a job and awaits the verdict."""
+class CancelRequested:
+    """A gateway cancels a job and waits for the answer."""
 
     job_id: str
     answer: Future[Answer]
 
 
 @dataclass(frozen=True, slots=True)
-class Rescued:
-    """Tasks of a lost hall that were handed to this one."""
+class JobsTakenOver:
+    """Jobs of a lost hall were handed over to this hall."""
 
     taken: tuple[TakenOver, ...]
 
 
-Input: TypeAlias = (
-    PageRead | Recovered | Reported | Appended | Beat | SubmitAsked | CancelAsked | Rescued
+CoreMessage: TypeAlias = (
+    PageRead
+    | LedgerRecovered
+    | ReportReceived
+    | AppendFinished
+    | HeartbeatReceived
+    | SubmitRequested
+    | CancelRequested
+    | JobsTakenOver
 )
--- a/src/linkspan/scheduler/outbox.py
+++ b/src/linkspan/scheduler/outbox.py
@@ -1,4 +1,4 @@
-"""Decisions on their way to the log, sent in groups."""
+"""Decisions that wait for an append or are in flight, grouped into records."""
 
 from __future__ import annotations
 
@@ -12,46 +12,47 @@
 
     from linkspan.ledger.records import Decision
 
-MAX_BYTES = MAX_RECORD_BYTES // 2
-"""Bound on the bytes of the decisions in one record."""
+MAX_DECISION_BYTES = MAX_RECORD_BYTES // 2
+"""Limit on the encoded size of the decisions in one record."""
 
 
 class Outbox:
-    """Collects decisions, and keeps what was sent until it shows in the log.
+    """Queues decisions, and keeps sent ones until they show up in the log.
 
-    A record that shows up late is harmless, since every decision names the
-    state that it changes; so after a time a lost one is simply decided anew.
+    A record that shows up late is harmless, since every decision names the state
+    that it changes. The outbox therefore forgets a record after a timeout, and the
+    scheduler makes its decisions again where they still apply.
 
     Args:
-        writer: Name that the records carry.
-        timeout_s: Time after which a sent record counts as lost.
+        writer: Writer name in the records.
+        timeout_s: Time in seconds after which a sent record counts as lost.
     """
 
     def __init__(self, writer: str, timeout_s: float) -> None:
         self._writer = writer
         self._timeout_s = timeout_s
         self._serial = 0
-        self._waiting: dict[Decision, None] = {}
+        self._queued: dict[Decision, None] = {}
         self._sent: dict[int, tuple[float, frozenset[Decision]]] = {}
 
     def __repr__(self) -> str:
-        return f"Outbox({self._writer!r}, waiting={len(self._waiting)}, sent={len(self._sent)})"
+        return f"Outbox({self._writer!r}, queued={len(self._queued)}, sent={len(self._sent)})"
 
     def holds(self, decision: Decision) -> bool:
-        """Return whether the decision waits or is on its way."""
-        if decision in self._waiting:
+        """Return whether the decision is queued or in flight."""
+        if decision in self._queued:
             return True
         return any(decision in decisions for _, decisions in self._sent.values())
 
     def add(self, decisions: Iterable[Decision]) -> None:
-        """Queue the decisions that are not queued or on their way yet."""
+        """Queue the decisions that are neither queued nor in flight."""
         for decision in decisions:
             if not self.holds(decision):
-                self._waiting[decision] = None
+                self._queued[decision] = None
 
     def placements(self) -> Iterable[Placed]:
-        """Yield the placements that wait or are on their way."""
-        for decision in self._waiting:
+        """Yield the placements that are queued or in flight."""
+        for decision in self._queued:
             if isinstance(decision, Placed):
                 yield decision
         for _, decisions in self._sent.values():
@@ -59,38 +60,40 @@
                 if isinstance(decision, Placed):
                     yield decision
 
-    def take(self, read_offset: int, now: float) -> Record | None:
-        """Return the next record to append, if one is due.
+    def next_record(self, read_offset: int, now: float) -> Record | None:
+        """Return the next record to append, or None when no decision is queued.
 
         Args:
-            read_offset: First offset that this scheduler has not read.
+            read_offset: First log offset that this scheduler has not read.
             now: Time in seconds.
         """
-        if not self._waiting:
+        if not self._queued:
             return None
         self._serial += 1
-        chosen = tuple(self._as_many_as_fit())
-        for decision in chosen:
-            del self._waiting[decision]
-        self._sent[self._serial] = (now, frozenset(chosen))
-        return Record(self._writer, self._serial, read_offset, chosen)
+        decisions = tuple(self._as_many_as_fit())
+        for decision in decisions:
+            del self._queued[decision]
+        self._sent[self._serial] = (now, frozenset(decisions))
+        return Record(self._writer, self._serial, read_offset, decisions)
 
     def _as_many_as_fit(self) -> Iterator[Decision]:
-        """Yield decisions from the front until the next would be too much."""
-        left = MAX_BYTES
-        for number, decision in enumerate(self._waiting):
-            left -= size_bound(decision)
-            if left < 0 and number:
+        """Yield queued decisions in order until the next would exceed the size limit."""
+        remaining = MAX_DECISION_BYTES
+        for position, decision in enumerate(self._queued):
+            remaining -= size_bound(decision)
+            if remaining < 0 and position:
                 return
             yield decision
 
-    def seen(self, record: Record) -> None:
-        """Drop the record, which showed up in the log."""
+    def on_record(self, record: Record) -> None:
+        """Drop a record of this scheduler that showed up in the log."""
         if record.writer == self._writer:
             self._sent.pop(record.serial, None)
 
     def expire(self, now: float) -> None:
-        """Give up on records that did not show up in time."""
-        late = [s for s, (sent, _) in self._sent.items() if now - sent > self._timeout_s]
-        for serial in late:
+        """Forget records that did not show up in the log in time."""
+        expired = [
+            serial for serial, (sent, _) in self._sent.items() if now - sent > self._timeout_s
+        ]
+        for serial in expired:
             del self._sent[serial]
--- a/src/linkspan/scheduler/proof.py
+++ b/src/linkspan/scheduler/proof.py
@@ -1,4 +1,4 @@
-"""Proof by time that a recalled attempt runs no more."""
+"""Proof, by elapsed time, that a recalled attempt no longer runs."""
 
 from __future__ import annotations
 
@@ -10,89 +10,95 @@
 
 
 class Confirmation(NamedTuple):
-    """The furthest that a peer is known to have applied the log.
+    """A peer's progress in the log, as it reported it.
 
     Attributes:
-        applied: First offset that it had not applied.
-        heard: Our clock when it said so, in seconds.
+        applied: First log offset that the peer had not applied.
+        received_at: Local time in seconds when the peer's heartbeat arrived.
     """
 
     applied: int
-    heard: float
+    received_at: float
 
 
 class LapseProof:
-    """Tells when a recalled attempt's last lease has surely lapsed.
+    """Computes when the last lease of a recalled attempt has certainly expired.
 
-    A lease is renewed only by schedulers that the ledger counts as joined and
-    that have not applied the recall. So it is over one lease after the last of
-    them confirmed having applied it. Who does not confirm is waited out for
-    the longest time that anyone renews without reading the log's end.
+    A lease is renewed only by schedulers that the ledger lists as joined and that
+    have not applied the recall. It has therefore expired one lease duration after
+    the last of these schedulers confirmed that it applied the recall. For a
+    scheduler that does not confirm, the bound is the longest time for which any
+    scheduler renews leases without having read the log's end.
 
     Args:
-        name: The scheduler that asks.
-        timing: The times that all schedulers keep to.
+        name: Name of this scheduler.
+        timing: Intervals and limits that all schedulers of the hall share.
     """
 
     def __init__(self, name: str, timing: Timing) -> None:
         self._name = name
         self._timing = timing
-        self._seen: dict[int, float] = {}
+        self._first_seen: dict[int, float] = {}
         self._confirmed: dict[str, list[Confirmation]] = {}
 
     def __repr__(self) -> str:
-        return f"LapseProof({self._name!r}, recalls={len(self._seen)})"
+        return f"LapseProof({self._name!r}, recalls={len(self._first_seen)})"
 
     def note_offset(self, offset: int, now: float) -> None:
-        """Remember when we first saw a recall or an expulsion in the log."""
-        self._seen.setdefault(offset, now)
+        """Keep the local time at which a recall or an expulsion was first seen in the log."""
+        self._first_seen.setdefault(offset, now)
 
     def forget_before(self, offset: int) -> None:
-        """Drop what is no longer asked about."""
-        self._seen = {seen: at for seen, at in self._seen.items() if seen >= offset}
-        for name, heard in self._confirmed.items():
-            self._confirmed[name] = [c for c in heard[:-1] if c.applied > offset] + heard[-1:]
+        """Drop the state that only recalls and expulsions before ``offset`` need."""
+        self._first_seen = {seen: at for seen, at in self._first_seen.items() if seen >= offset}
+        for name, confirmations in self._confirmed.items():
+            self._confirmed[name] = [
+                c for c in confirmations[:-1] if c.applied > offset
+            ] + confirmations[-1:]
 
     def confirm(self, scheduler: str, applied: int, now: float) -> None:
-        """Take in how far a peer says that it has applied the log."""
-        heard = self._confirmed.setdefault(scheduler, [])
-        if not heard or applied > heard[-1].applied:
-            heard.append(Confirmation(applied, now))
+        """Record the log offset up to which a peer reports to have applied the log."""
+        confirmations = self._confirmed.setdefault(scheduler, [])
+        if not confirmations or applied > confirmations[-1].applied:
+            confirmations.append(Confirmation(applied, now))
 
     def has_waited_out(self, offset: int, now: float) -> bool:
-        """Return whether nobody renews by what it read before ``offset``."""
-        seen = self._seen.get(offset)
-        if seen is None:
+        """Return whether leases of schedulers that have not applied ``offset`` have all expired."""
+        seen_at = self._first_seen.get(offset)
+        if seen_at is None:
             return False
-        return now >= seen + self._timing.offline_bound_s + self._timing.lease_bound_s
+        return now >= seen_at + self._timing.offline_bound_s + self._timing.lease_bound_s
 
     def lapse_at(self, ledger: Ledger, recalled: int) -> float:
-        """Return our time at which a recall's attempt has surely lapsed.
+        """Return the local time at which the lease of a recalled attempt has certainly expired.
 
         Args:
-            ledger: The fold, for who may be renewing.
-            recalled: Offset of the recall; :meth:`note_offset` was told it.
+            ledger: The hall's ledger, which lists the schedulers that may renew.
+            recalled: Offset of the recall, which :meth:`note_offset` must have received.
         """
-        seen = self._seen.get(recalled)
-        if seen is None:
+        seen_at = self._first_seen.get(recalled)
+        if seen_at is None:
             return float("inf")
-        stops = [seen]
+        stops = [seen_at]
         stops += [
-            self._stopped_at(name, recalled, seen)
+            self._stopped_at(name, recalled, seen_at)
             for name, joined in ledger.schedulers.items()
             if name != self._name and joined < recalled
         ]
         stops += [
-            min(self._stopped_at(name, recalled, seen), self._expulsion_over(expelled, seen))
+            min(
+                self._stopped_at(name, recalled, seen_at),
+                self._expulsion_ends_at(expelled, seen_at),
+            )
             for name, expelled in ledger.expelled.items()
         ]
         return max(stops) + self._timing.lease_bound_s
 
-    def _expulsion_over(self, expelled: int, otherwise: float) -> float:
-        return self._seen.get(expelled, otherwise) + self._timing.offline_bound_s
+    def _expulsion_ends_at(self, expelled: int, otherwise: float) -> float:
+        return self._first_seen.get(expelled, otherwise) + self._timing.offline_bound_s
 
-    def _stopped_at(self, name: str, recalled: int, seen: float) -> float:
+    def _stopped_at(self, name: str, recalled: int, seen_at: float) -> float:
         for confirmation in self._confirmed.get(name, ()):
             if confirmation.applied > recalled:
-                return max(seen, confirmation.heard)
-        return seen + self._timing.offline_bound_s
+                return max(seen_at, confirmation.received_at)
+        return seen_at + self._timing.offline_bound_s
--- a/src/linkspan/scheduler/rescue.py
+++ b/src/linkspan/scheduler/rescue.py
@@ -1,4 +1,4 @@
-"""Takes up the queued work of a hall that is lost; pure of sockets and clocks."""
+"""Decisions that move the queued jobs of a lost hall to another hall, without I/O or clocks."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
     from linkspan.ledger.ledger import Ledger
 
-MAX_AT_ONCE = 50
-"""Jobs that one look hands over, so that a hall is not flooded."""
+MAX_HANDOVERS_PER_CHECK = 50
+"""Limit on the jobs handed over per check; keeps the taking hall from being overloaded."""
 
 
 def rescuer(lost: str, halls: Collection[str]) -> str:
-    """Return the hall that is to look after a lost one's queue.
+    """Return the hall that takes over the queue of a lost hall.
 
     Args:
-        lost: The hall that is lost.
-        halls: The halls that are there, at least one.
+        lost: Name of the lost hall.
+        halls: Names of the live halls, at least one.
     """
     return rendezvous(f"rescue {lost}", sorted(halls))
 
 
 def handovers(lost: Ledger, hall: str) -> Iterator[HandedOver]:
-    """Yield records for the lost hall's stream that give its queue to this hall.
+    """Yield records for the lost hall's stream that hand its queued jobs over to this hall.
 
-    The stream's order decides between these and placements that the lost hall
-    makes after all. What was placed there stays there, and so does work that
-    belongs to the hall: its services.
+    The lost hall may still place tasks: the order of the stream decides between
+    its placements and these records. Placed tasks stay in the lost hall. So do
+    the tasks of services, since each hall runs its own part of a service.
 
     Args:
-        lost: The lost hall's ledger, as far as the log has it.
-        hall: This hall.
+        lost: The lost hall's ledger, as applied up to the log's end.
+        hall: Name of this hall.
     """
     waiting = [
         entry
@@ -47,15 +47,15 @@
         and f"{lost.hall}/{entry.number}" not in lost.handed
     ]
     waiting.sort(key=lambda entry: (entry.spec.priority, entry.number))
-    for entry in waiting[:MAX_AT_ONCE]:
+    for entry in waiting[:MAX_HANDOVERS_PER_CHECK]:
         yield HandedOver(entry.number, hall)
 
 
 def takeovers(lost: Ledger, own: Ledger) -> Iterator[TakenOver]:
-    """Yield records for this hall's stream on what was handed to it.
+    """Yield records for this hall's stream that take over the jobs handed over to it.
 
-    Only handovers that the lost hall's fold has applied count; one that was
-    taken up before is left out.
+    Covers the handovers that the lost hall's ledger has applied, apart from those
+    that this hall has already taken over.
     """
     for origin, handover in lost.handed.items():
         if handover.hall == own.hall and origin not in own.taken:
--- a/src/linkspan/scheduler/services.py
+++ b/src/linkspan/scheduler/services.py
@@ -1,4 +1,4 @@
-"""Services as jobs: what configuration wants of a hall, and how it gets there."""
+"""Services as jobs: which ones the configuration assigns to a hall, and how to reach them."""
 
 from __future__ import annotations
 
@@ -19,41 +19,41 @@
     from linkspan.ledger.records import Decision
 
 PREFIX = "service:"
-"""What the ids of services' jobs begin with; callers' ids may not."""
+"""Prefix of the ids of service jobs; the gateway refuses it in callers' job ids."""
 
 
 def wanted_services(document: Document, hall: str) -> dict[str, JobSpec]:
-    """Return the job of each service that this hall is to run, by job id.
+    """Return the jobs of the services that this hall has to run, by job id.
 
-    A changed service has another id, so that the new tasks start beside the
-    old ones before those are stopped.
+    A changed service gets a new job id, so that its new tasks start while the old
+    ones still run. The old tasks are stopped afterwards.
     """
     halls = sorted(key.removeprefix("halls/") for key in document if key.startswith("halls/"))
     wanted: dict[str, JobSpec] = {}
     for key, value in document.items():
         if key.startswith("services/"):
             service = service_of(key.removeprefix("services/"), value)
-            count = _part(service.replicas, halls or [hall], hall)
+            count = _replicas_of_hall(service.replicas, halls or [hall], hall)
             if count:
-                spec = _job(service, count)
+                spec = _service_job(service, count)
                 wanted[spec.job_id] = spec
     return wanted
 
 
 def service_changes(ledger: Ledger, wanted: Mapping[str, JobSpec]) -> Iterator[Decision]:
-    """Yield what brings the ledger's services to what is wanted."""
+    """Yield the decisions that bring the ledger's service jobs to the wanted ones."""
     for job_id, spec in wanted.items():
         if ledger.spec_of(job_id) is None:
             yield Submitted(spec)
     for entry in ledger.jobs.values():
         spec = entry.spec
         stale = spec.priority is Priority.SERVICE and spec.job_id not in wanted
-        if stale and not entry.cancelled and not _is_awaited(ledger, wanted, spec.kind):
+        if stale and not entry.cancelled and not _is_replacement_pending(ledger, wanted, spec.kind):
             yield Cancelled(spec.job_id)
 
 
-def _is_awaited(ledger: Ledger, wanted: Mapping[str, JobSpec], kind: str) -> bool:
-    """Return whether a newer job of the service has tasks that do not run yet."""
+def _is_replacement_pending(ledger: Ledger, wanted: Mapping[str, JobSpec], kind: str) -> bool:
+    """Return whether a wanted job of the service is not submitted or has queued tasks."""
     for job_id, spec in wanted.items():
         if spec.kind == kind:
             number = ledger.job_numbers.get(job_id)
@@ -61,14 +61,14 @@
     return False
 
 
-def _part(replicas: int, halls: list[str], hall: str) -> int:
+def _replicas_of_hall(replicas: int, halls: list[str], hall: str) -> int:
     if hall not in halls:
         return 0
-    at = halls.index(hall)
-    return replicas // len(halls) + (at < replicas % len(halls))
+    position = halls.index(hall)
+    return replicas // len(halls) + (position < replicas % len(halls))
 
 
-def _job(service: ServiceConfig, count: int) -> JobSpec:
+def _service_job(service: ServiceConfig, count: int) -> JobSpec:
     spec = JobSpec(
         job_id="",
         customer=service.customer,
--- a/src/linkspan/scheduler/status.py
+++ b/src/linkspan/scheduler/status.py
@@ -1,4 +1,4 @@
-"""A scheduler's state, for operators."""
+"""The scheduler's ``/status`` page for operators."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def status_of(core: SchedulerCore, now: float, *, config_version: int) -> dict[str, Any]:
-    """Return what ``/status`` shows, as a value for JSON.
+    """Return the content of ``/status``, as a value for JSON.
 
     Args:
-        core: The scheduler.
+        core: The core of this scheduler.
         now: Time in seconds.
         config_version: Configuration version in force.
     """
--- a/src/linkspan/scheduler/findings.py
+++ b/src/linkspan/scheduler/worker_decisions.py
@@ -1,4 +1,4 @@
-"""What a worker's report, or its silence, adds to the ledger."""
+"""Decisions for the ledger that follow from a worker's report or from its silence."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from linkspan.services.messages import ClosedAttempt
 
 
-def findings(
+def worker_decisions(
     view: WorkerView, ledger: Ledger, now: float, *, silence_s: float, leaving: bool
 ) -> Iterator[Decision]:
-    """Yield what the ledger has to learn of a worker.
+    """Yield the decisions that the ledger needs about one worker.
 
     Args:
-        view: What is known of the worker.
-        ledger: The fold.
+        view: Latest known state of the worker.
+        ledger: The hall's ledger.
         now: Time in seconds.
-        silence_s: Silence after which the worker's attempts are recalled.
-        leaving: Whether the worker is to get nothing new.
+        silence_s: Time without a report after which the worker's attempts are recalled.
+        leaving: Whether the worker must get no new work.
     """
     report = view.report
     number = ledger.worker_numbers.get(view.name)
@@ -38,16 +38,16 @@
         yield from _recall_all(ledger, number)
         return
     for closed in view.closed.values():
-        yield from _close(closed, ledger, number)
+        yield from _end_of(closed, ledger, number)
     if leaving:
-        yield from _move_away(view, ledger, number)
+        yield from _recall_movable(view, ledger, number)
 
 
-def _move_away(view: WorkerView, ledger: Ledger, worker: int) -> Iterator[Decision]:
-    """Recall what did not begin yet, and what would never end by itself.
+def _recall_movable(view: WorkerView, ledger: Ledger, worker: int) -> Iterator[Decision]:
+    """Recall attempts that have not started, and service attempts, which never end by themselves.
 
-    Tasks of a service move one after another: the next only when none of the
-    service waits for a place.
+    Tasks of a service move one at a time: the next one is recalled only when no
+    task of the service is queued.
     """
     moving: set[int] = set()
     for task in sorted(ledger.workers[worker].tasks):
@@ -56,8 +56,8 @@
         if ledger.placements[task].recalled >= 0 or run in view.closed:
             continue
         if run in view.running:
-            is_turn = not entry.queued and task.job not in moving
-            if not entry.spec.restarts or not is_turn:
+            may_move = not entry.queued and task.job not in moving
+            if not entry.spec.restarts or not may_move:
                 continue
             moving.add(task.job)
         yield Recalled(ledger.attempt_of(task))
@@ -69,7 +69,7 @@
             yield Recalled(ledger.attempt_of(task))
 
 
-def _close(closed: ClosedAttempt, ledger: Ledger, worker: int) -> Iterator[Decision]:
+def _end_of(closed: ClosedAttempt, ledger: Ledger, worker: int) -> Iterator[Decision]:
     attempt = attempt_of_run(ledger.hall, closed.run)
     if attempt is None or worker_of(ledger, attempt) != worker:
         return
--- a/src/linkspan/scheduler/worker_orders.py
+++ b/src/linkspan/scheduler/worker_orders.py
@@ -1,4 +1,4 @@
-"""What a worker has to do, from the fold and its latest report."""
+"""Orders for a worker, derived from the ledger and the worker's latest report."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class WorkerOrders:
-    """Writes the orders of one exchange.
+    """Builds the orders of one exchange.
 
     Args:
-        view: What is known of the worker.
-        ledger: The fold.
-        lease_s: Length of a lease, counted from the worker's report.
-        may_renew: Whether the fold is fresh enough to start and renew.
-        leaving: Whether the worker is to get nothing new.
-        knows_all: Whether the fold is newer than the report. Only then an
-            attempt that the ledger does not have there is known to be over, and
-            not perhaps placed by records that were not read yet.
+        view: Latest known state of the worker.
+        ledger: The hall's ledger.
+        lease_s: Duration of a lease in seconds, from the time of the worker's report.
+        may_renew: Whether the ledger is fresh enough to start attempts and renew leases.
+        leaving: Whether the worker must get no new work.
+        is_newer_than_report: Whether the ledger is newer than the report. Only then
+            an attempt that the ledger does not list on the worker has certainly
+            ended; otherwise records that are not read yet may have placed it.
     """
 
     def __init__(
@@ -37,22 +37,22 @@
         lease_s: float,
         may_renew: bool,
         leaving: bool,
-        knows_all: bool,
+        is_newer_than_report: bool,
     ) -> None:
         self._view = view
         self._ledger = ledger
         self._lease_s = lease_s
         self._may_renew = may_renew
         self._leaving = leaving
-        self._knows_all = knows_all
+        self._is_newer_than_report = is_newer_than_report
         self._number = ledger.worker_numbers.get(view.name)
         self._live = self._live_runs()
 
     def __repr__(self) -> str:
         return f"WorkerOrders({self._view.name!r}, live={len(self._live)})"
 
-    def write(self, placer: Placer) -> ExchangeRequest:
-        """Return the orders; before the first report they ask for one only."""
+    def build(self, placer: Placer) -> ExchangeRequest:
+        """Return the orders; before the first report they are empty and only request a report."""
         report = self._view.report
         if report is None:
             return ExchangeRequest()
@@ -67,7 +67,7 @@
         )
 
     def _live_runs(self) -> dict[AttemptKey, TaskId]:
-        """Return the attempts that the ledger has on the worker."""
+        """Return the attempts that the ledger lists on the worker, by run key."""
         ledger = self._ledger
         if self._number is None:
             return {}
@@ -116,7 +116,7 @@
             for run, task in live.items()
             if not self._is_wanted(task) and run not in view.closed
         }
-        if self._knows_all:
+        if self._is_newer_than_report:
             stops |= view.running - live.keys()
         return tuple(sorted(stops))
 
@@ -131,6 +131,6 @@
         )
 
     def _acknowledged(self) -> tuple[AttemptKey, ...]:
-        if not self._knows_all:
+        if not self._is_newer_than_report:
             return ()
         return tuple(run for run in self._view.closed if run not in self._live)
--- a/src/linkspan/scheduler/worker_view.py
+++ b/src/linkspan/scheduler/worker_view.py
@@ -1,4 +1,4 @@
-"""What a scheduler knows of one worker from its reports."""
+"""A scheduler's view of one worker, from the worker's reports."""
 
 from __future__ import annotations
 
@@ -11,49 +11,50 @@
 
 @dataclass(slots=True)
 class WorkerView:
-    """The latest report of a worker, and when we are next to talk to it.
+    """The latest report of a worker, and the times of its exchanges.
 
     Attributes:
-        name: The worker.
-        report: Its latest report, None before the first.
-        reported: Our clock in seconds when the exchange of that report began.
-        watched_since: Our clock when we began to look after this worker.
-        next_exchange: Our clock when the next exchange is due.
-        last_exchange: Our clock when the latest exchange began.
-        has_news: Whether what it said or did not say is still to be looked at.
-        running: Attempts that the report has running.
-        closed: Attempts that the report has closed.
+        name: Name of the worker.
+        report: The latest report, None before the first one.
+        report_started: Local time in seconds when the exchange of that report started.
+        watched_since: Local time when this scheduler started to watch the worker.
+        next_exchange: Local time when the next exchange is due.
+        last_exchange: Local time when the latest exchange started.
+        needs_check: Whether the scheduler still has to derive decisions from the
+            latest report, or from its absence.
+        running: Attempts that run according to the report.
+        closed: Attempts that ended or left the worker according to the report.
     """
 
     name: str
     watched_since: float
     report: WorkerReport | None = None
-    reported: float = -1.0
+    report_started: float = -1.0
     next_exchange: float = 0.0
     last_exchange: float = float("-inf")
-    has_news: bool = True
+    needs_check: bool = True
     running: set[AttemptKey] = field(default_factory=set)
     closed: dict[AttemptKey, ClosedAttempt] = field(default_factory=dict)
 
-    def take(self, report: WorkerReport, began: float) -> None:
-        """Take in a report, unless a later one is known.
+    def apply_report(self, report: WorkerReport, started: float) -> None:
+        """Replace the latest report, unless the known one is newer.
 
         Args:
-            report: What the worker said.
-            began: Our clock when we began to ask.
+            report: The report.
+            started: Local time in seconds when the exchange started.
         """
-        if self.report is not None and _order(report) < _order(self.report):
+        if self.report is not None and _report_order(report) < _report_order(self.report):
             return
         self.report = report
-        self.has_news = True
-        self.reported = began
+        self.needs_check = True
+        self.report_started = started
         self.running = set(report.running)
         self.closed = {closed.run: closed for closed in report.closed}
 
     def silence(self, now: float) -> float:
-        """Return for how many seconds the worker has not been heard of."""
-        return now - max(self.watched_since, self.reported)
+        """Return the time in seconds since the worker was last known to be alive."""
+        return now - max(self.watched_since, self.report_started)
 
 
-def _order(report: WorkerReport) -> tuple[int, float]:
+def _report_order(report: WorkerReport) -> tuple[int, float]:
     return report.spec.incarnation, report.clock
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -47,11 +47,11 @@
 
 
 def _lapse_at_once(self: LapseProof, ledger: Ledger, recalled: int) -> float:
-    return self._seen.get(recalled, float("inf"))
+    return self._first_seen.get(recalled, float("inf"))
 
 
 def _lapse_after_lease(self: LapseProof, ledger: Ledger, recalled: int) -> float:
-    return self._seen.get(recalled, float("inf")) + self._timing.lease_bound_s
+    return self._first_seen.get(recalled, float("inf")) + self._timing.lease_bound_s
 
 
 def _requeue_recalled(self: Ledger, offset: int, attempt: Any) -> ApplyResult:
--- a/tests/scheduler/test_core.py
+++ b/tests/scheduler/test_core.py
@@ -60,9 +60,9 @@
     core.on_records([], 1.0, end=end)
     run = AttemptKey("rennes-a/1.0", 1)
     closed = ClosedAttempt(run, ended=True, failed=False, started=True, checkpoint="")
-    core.on_report(WorkerReport(worker(), 5.0, closed=(closed,)), began=5.0)
+    core.on_report(WorkerReport(worker(), 5.0, closed=(closed,)), started=5.0)
     assert core.step(6.0).exchanges["w1"].acknowledged == ()
-    core.on_records([], 11.0, end=end, began=10.0)
+    core.on_records([], 11.0, end=end, read_started=10.0)
     assert core.step(12.0).exchanges["w1"].acknowledged == (run,)
 
 
@@ -184,9 +184,9 @@
     for tick in range(160):
         now = 0.25 * tick
         if now % LOG_WAIT_S == 0:
-            core.on_records([], now, end=end, began=now - LOG_WAIT_S - ANSWER_S)
+            core.on_records([], now, end=end, read_started=now - LOG_WAIT_S - ANSWER_S)
         if now >= 10.0:
-            core.on_report(WorkerReport(worker(), now), began=now)
+            core.on_report(WorkerReport(worker(), now), started=now)
         record = core.step(now).record
         placed += [d for d in record.decisions if isinstance(d, Placed)] if record else []
         if record:
