--- a/src/linkspan/ledger/__init__.py
+++ b/src/linkspan/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The hall's ledger: records on the platform's log and the fold over them."""
+"""The hall's ledger: records in the platform's log, and the state that results from them."""
--- a/src/linkspan/ledger/codec.py
+++ b/src/linkspan/ledger/codec.py
@@ -1,4 +1,4 @@
-"""Bytes of ledger records: packed Cap'n Proto, numbers in place of names."""
+"""Encoding of ledger records as packed Cap'n Proto, with numbers instead of names."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from linkspan.model.worker import WorkerSpec
 
 MAX_RECORD_BYTES = 256 * 1024
-"""Largest record that is written or read."""
+"""Limit on the encoded size of a record, for writing and reading."""
 
 
 def _schema() -> Any:
@@ -42,12 +42,12 @@
 
 
 def job_to_json(spec: JobSpec) -> bytes:
-    """Return the job's JSON form, the same bytes for the same job."""
+    """Return the job as JSON; equal jobs give equal bytes."""
     return orjson.dumps(spec, default=list, option=orjson.OPT_SORT_KEYS)
 
 
 def job_from_json(body: bytes) -> JobSpec:
-    """Return the job of a JSON form made by :func:`job_to_json`."""
+    """Return the job from JSON that :func:`job_to_json` produced."""
     fields = orjson.loads(body)
     fields["size"] = Resources(*fields["size"])
     fields["priority"] = Priority(fields["priority"])
@@ -55,24 +55,24 @@
 
 
 def worker_to_json(spec: WorkerSpec) -> bytes:
-    """Return the worker's JSON form."""
+    """Return the worker as JSON."""
     return orjson.dumps(spec, default=list, option=orjson.OPT_SORT_KEYS)
 
 
 def worker_from_json(body: bytes) -> WorkerSpec:
-    """Return the worker of a JSON form made by :func:`worker_to_json`."""
+    """Return the worker from JSON that :func:`worker_to_json` produced."""
     fields = orjson.loads(body)
     fields["size"] = Resources(*fields["size"])
     return WorkerSpec(**fields)
 
 
 def taken_to_json(taken: TakenOver) -> bytes:
-    """Return a takeover's JSON form."""
+    """Return the takeover as JSON."""
     return orjson.dumps([taken.origin, job_to_json(taken.spec).decode(), taken.tasks], default=list)
 
 
 def taken_from_json(body: bytes) -> TakenOver:
-    """Return the takeover of a JSON form made by :func:`taken_to_json`."""
+    """Return the takeover from JSON that :func:`taken_to_json` produced."""
     origin, spec, tasks = orjson.loads(body)
     return TakenOver(
         origin, job_from_json(spec.encode()), tuple(MovedTask(*task) for task in tasks)
@@ -80,26 +80,26 @@
 
 
 def encode(record: Record) -> bytes:
-    """Return the record's bytes.
+    """Encode a record.
 
-    Placements and ends are kept in lists of their own, since nearly all
-    decisions are of these two kinds and so take about ten bytes each. Within
-    a record the fold therefore sees other decisions first, then ends, then
-    placements; :func:`ordered` gives that order.
+    Placements and ends have separate lists, which reduces each of them to about
+    ten bytes; nearly all decisions are of these two kinds. A decoded record
+    therefore lists the other decisions first, then ends, then placements.
+    :func:`ordered` returns that order.
 
     Raises:
-        RecordError: The record is over ``MAX_RECORD_BYTES``.
+        RecordError: The record is larger than ``MAX_RECORD_BYTES``.
     """
     message = _schema().Record.new_message()
     message.writer = record.writer
     message.serial = record.serial
     message.readOffset = record.read_offset
-    _fill_placed(message, [d for d in record.decisions if isinstance(d, Placed)])
-    _fill_ended(message, [d for d in record.decisions if isinstance(d, Ended)])
+    _write_placed(message, [d for d in record.decisions if isinstance(d, Placed)])
+    _write_ended(message, [d for d in record.decisions if isinstance(d, Ended)])
     others = [d for d in record.decisions if not isinstance(d, (Placed, Ended))]
     target = message.init("decisions", len(others))
     for slot, decision in zip(target, others, strict=True):
-        _fill(slot, decision)
+        _write_decision(slot, decision)
     body: bytes = message.to_bytes_packed()
     if len(body) > MAX_RECORD_BYTES:
         raise RecordError(f"record of {len(body)} bytes: split it below {MAX_RECORD_BYTES}")
@@ -107,7 +107,7 @@
 
 
 def size_bound(decision: Decision) -> int:
-    """Return a bound on the bytes that a decision adds to a record."""
+    """Return an upper bound on the bytes that a decision adds to an encoded record."""
     match decision:
         case Placed() | Ended():
             return 24
@@ -130,7 +130,7 @@
 
 
 def ordered(decisions: tuple[Decision, ...]) -> tuple[Decision, ...]:
-    """Return the decisions in the order in which a decoded record has them."""
+    """Return the decisions in the order in which a decoded record lists them."""
     others = tuple(d for d in decisions if not isinstance(d, (Placed, Ended)))
     ended = tuple(d for d in decisions if isinstance(d, Ended))
     placed = tuple(d for d in decisions if isinstance(d, Placed))
@@ -138,36 +138,36 @@
 
 
 def decode(body: bytes) -> Record:
-    """Return the record of these bytes.
+    """Decode a record.
 
     Raises:
-        RecordError: The bytes are no record.
+        RecordError: The bytes are not a valid record.
     """
     if len(body) > MAX_RECORD_BYTES:
-        raise RecordError(f"record of {len(body)} bytes is over {MAX_RECORD_BYTES}")
+        raise RecordError(f"record of {len(body)} bytes is over the limit of {MAX_RECORD_BYTES}")
     try:
         return _read(_schema().Record.from_bytes_packed(body))
-    except Exception as error:  # pycapnp, orjson and our own constructors alike
-        raise RecordError(f"not a ledger record: {error}") from error
+    except Exception as error:  # pycapnp, orjson and the record constructors raise different types
+        raise RecordError(f"invalid ledger record: {error}") from error
 
 
-def _fill_placed(message: Any, placed: list[Placed]) -> None:
+def _write_placed(message: Any, placed: list[Placed]) -> None:
     for slot, decision in zip(message.init("placed", len(placed)), placed, strict=True):
         slot.job, slot.index, slot.attempt = decision.attempt
         slot.worker = decision.worker
 
 
-def _fill_ended(message: Any, ended: list[Ended]) -> None:
+def _write_ended(message: Any, ended: list[Ended]) -> None:
     for slot, decision in zip(message.init("ended", len(ended)), ended, strict=True):
         slot.job, slot.index, slot.attempt = decision.attempt
         slot.outcome = int(decision.outcome)
 
 
-def _fill_attempt(slot: Any, attempt: AttemptId) -> None:
+def _write_attempt(slot: Any, attempt: AttemptId) -> None:
     slot.job, slot.index, slot.attempt = attempt
 
 
-def _fill(slot: Any, decision: Decision) -> None:
+def _write_decision(slot: Any, decision: Decision) -> None:
     match decision:
         case Submitted(spec):
             slot.submitted = job_to_json(spec)
@@ -177,13 +177,13 @@
             slot.cancelled = job_id
         case Evicted(attempt, checkpoint, started):
             target = slot.init("evicted")
-            _fill_attempt(target.init("attempt"), attempt)
+            _write_attempt(target.init("attempt"), attempt)
             target.checkpoint = checkpoint
             target.started = started
         case Recalled(attempt):
-            _fill_attempt(slot.init("recalled"), attempt)
+            _write_attempt(slot.init("recalled"), attempt)
         case Lapsed(attempt):
-            _fill_attempt(slot.init("lapsed"), attempt)
+            _write_attempt(slot.init("lapsed"), attempt)
         case Resized(job, size):
             target = slot.init("resized")
             target.job = job
@@ -203,7 +203,7 @@
             target = slot.init("snapshot")
             target.asOf, target.part, target.parts, target.body = as_of, part, parts, body
         case _:
-            raise RecordError(f"no form for {decision!r}")
+            raise RecordError(f"no encoding for decision {decision!r}")
 
 
 def _read(message: Any) -> Record:
--- a/src/linkspan/ledger/job_entry.py
+++ b/src/linkspan/ledger/job_entry.py
@@ -1,4 +1,4 @@
-"""A job's state in the ledger, three bytes a task."""
+"""State of a job in the ledger, in three bytes per task."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TaskState(IntEnum):
-    """Where a task stands; from ``DONE`` on nothing follows."""
+    """State of a task; ``DONE`` and all higher values are final."""
 
     QUEUED = 0
     PLACED = 1
@@ -25,11 +25,17 @@
 
 
 class JobCounts(NamedTuple):
-    """How many of a job's tasks stand where.
-
-    ``not_run`` counts cancelled tasks that were never placed on any worker,
-    ``lost`` those of a job that must not be repeated whose end is unknown, and
-    ``moved`` those that are in another hall's ledger.
+    """Number of a job's tasks by state.
+
+    Attributes:
+        queued: Tasks that wait for placement.
+        running: Tasks that are placed or recalled.
+        done: Tasks that succeeded.
+        failed: Tasks that failed for good.
+        cancelled: Cancelled tasks, including those in ``not_run``.
+        not_run: Cancelled tasks that were never placed on a worker.
+        lost: Tasks of a non-repeatable job whose end is unknown.
+        moved: Tasks that belong to another hall's ledger.
     """
 
     queued: int
@@ -43,7 +49,7 @@
 
 
 class JobEntry:
-    """A job under way.
+    """An unfinished job.
 
     Args:
         number: The job's number in this ledger.
@@ -90,7 +96,7 @@
         return self.states.find(TaskState.QUEUED, start)
 
     def counts(self) -> JobCounts:
-        """Return how many tasks stand where."""
+        """Return the number of tasks by state."""
         count = self.states.count
         not_run = sum(
             1
--- a/src/linkspan/ledger/ledger.capnp
+++ b/src/linkspan/ledger/ledger.capnp
@@ -1,10 +1,10 @@
 @0xd9b1f64f2c7a51e3;
-# Records of a hall's ledger stream. Ids are only ever added, never reused.
+# Records of a hall's ledger stream. Field ids are only added, never reused.
 
 struct Record {
   writer @0 :Text;          # scheduler that appended it
-  serial @1 :UInt32;        # the writer's own count, to find its record again
-  readOffset @2 :UInt64;    # next offset that the writer had not yet read
+  serial @1 :UInt32;        # sequence number among the writer's records, which identifies a record
+  readOffset @2 :UInt64;    # first offset that the writer had not read
   decisions @3 :List(Decision);
   placed @4 :List(Placed);
   ended @5 :List(Ended);
@@ -67,7 +67,7 @@
 }
 
 struct SnapshotPart {
-  asOf @0 :UInt64;          # offset after the last record folded in
+  asOf @0 :UInt64;          # first offset that the snapshot does not contain
   part @1 :UInt16;
   parts @2 :UInt16;
   body @3 :Data;
--- a/src/linkspan/ledger/ledger.py
+++ b/src/linkspan/ledger/ledger.py
@@ -1,4 +1,4 @@
-"""The fold: what the hall's records add up to, the same on every host."""
+"""The ledger: the state that a hall's records lead to, identical on every host."""
 
 from __future__ import annotations
 
@@ -36,24 +36,26 @@
     from linkspan.model.job import JobSpec
     from linkspan.model.worker import WorkerSpec
 
-WINDOW = 20_000
-"""A record that lands this many offsets after its writer's reading is ignored."""
+MAX_READ_LAG_OFFSETS = 20_000
+"""Maximum distance between a record's offset and the offset up to which its writer had read.
+
+The ledger ignores records that arrive later than that."""
 
 MAX_FAILURES = 3
-"""A task that failed this often is not tried again."""
+"""Failures after which a task is not retried."""
 
 MAX_ATTEMPTS = 60_000
-"""Attempts of one task that its two-byte count can tell apart, with room."""
+"""Limit on the attempts of a task; below the 65,535 that the two-byte counter can hold."""
 
-HANDOVERS_KEPT = 2_048
-"""Handovers, in each direction, that are remembered."""
+MAX_HANDOVERS = 2_048
+"""Limit on the handovers that the ledger keeps, in each direction."""
 
-FINISHED_KEPT = 8_192
-"""Finished jobs whose ids and counts are remembered."""
+MAX_FINISHED_JOBS = 8_192
+"""Limit on the finished jobs whose specification and counts the ledger keeps."""
 
 
 class ApplyResult(Enum):
-    """What the fold made of a decision."""
+    """Result of applying a decision to the ledger."""
 
     APPLIED = "applied"
     LATE = "landed too long after its writer read the log"
@@ -66,13 +68,13 @@
 
 
 class Placement(NamedTuple):
-    """Where a task's present attempt was placed.
+    """The placement of a task's current attempt.
 
     Attributes:
         worker: The worker's ledger number.
-        size: What it reserves there.
+        size: Resources that the attempt reserves on the worker.
         offset: Offset of the record that placed it.
-        recalled: Offset of the record that recalled it, -1 when none did.
+        recalled: Offset of the record that recalled it, or -1.
     """
 
     worker: int
@@ -83,7 +85,7 @@
 
 @dataclass(slots=True)
 class WorkerEntry:
-    """A worker's account in the ledger."""
+    """A worker in the ledger, with its tasks and their reserved resources."""
 
     number: int
     spec: WorkerSpec
@@ -92,37 +94,37 @@
 
     @property
     def room(self) -> Resources:
-        """What may still be placed on it."""
+        """Resources that are not reserved."""
         return self.spec.size - self.used
 
 
 class Finished(NamedTuple):
-    """What is remembered of a finished job."""
+    """Specification and task counts of a finished job."""
 
     spec: JobSpec
     counts: JobCounts
 
 
 class Handover(NamedTuple):
-    """Tasks that were given to another hall, as that hall is to take them up."""
+    """Tasks handed over to another hall, with the record that takes them over there."""
 
     hall: str
     taken: TakenOver
 
 
-def _keep_last(entries: OrderedDict[str, Any], count: int) -> None:
+def _drop_oldest(entries: OrderedDict[str, Any], count: int) -> None:
     while len(entries) > count:
         entries.popitem(last=False)
 
 
 class Ledger:
-    """State of one hall's jobs and workers, as the records up to now tell it.
+    """State of one hall's jobs, workers and schedulers after a prefix of its log.
 
-    The only way to change it is :meth:`apply`, in the log's order. It reads no
-    clock and draws nothing at random, so every host reaches the same state.
+    Only :meth:`apply` changes the state, with records in log order. Applying reads
+    no clock and uses no randomness, so that every host reaches the same state.
 
     Args:
-        hall: The hall whose stream this folds.
+        hall: The hall whose stream is applied.
     """
 
     def __init__(self, hall: str) -> None:
@@ -150,30 +152,30 @@
         )
 
     def attempt_of(self, task: TaskId) -> AttemptId:
-        """Return the task's latest attempt; attempt 0 was never placed."""
+        """Return the task's latest attempt; attempt 0 means that it was never placed."""
         return AttemptId(*task, self.jobs[task.job].attempts[task.index])
 
     def apply(self, offset: int, record: Record) -> list[ApplyResult]:
-        """Fold in the record at ``offset`` and return a verdict a decision.
+        """Apply the record at ``offset`` and return one result per decision.
 
         Args:
-            offset: The record's place in the stream; records come in order,
-                and one that was folded in before is left out.
+            offset: The record's offset in the stream. Records must be in log order;
+                a record that was applied before has no effect.
             record: The record.
         """
         if offset < self.next_offset:
             return [ApplyResult.DUPLICATE] * len(record.decisions)
         self.next_offset = offset + 1
-        self._forget_tombstones()
-        if offset - record.read_offset > WINDOW:
+        self._drop_old_tombstones()
+        if offset - record.read_offset > MAX_READ_LAG_OFFSETS:
             return [ApplyResult.LATE] * len(record.decisions)
-        return [self._decide(offset, decision) for decision in record.decisions]
+        return [self._apply_decision(offset, decision) for decision in record.decisions]
 
     def skip(self, offset: int) -> None:
-        """Pass over an offset that holds no readable record."""
+        """Advance past an offset whose record cannot be decoded."""
         self.next_offset = max(self.next_offset, offset + 1)
 
-    def _decide(self, offset: int, decision: Decision) -> ApplyResult:
+    def _apply_decision(self, offset: int, decision: Decision) -> ApplyResult:
         match decision:
             case Placed(attempt, worker):
                 return self._place(offset, attempt, worker)
@@ -184,13 +186,13 @@
             case Recalled(attempt):
                 return self._recall(offset, attempt)
             case Lapsed(attempt):
-                return self._lapse(attempt)
+                return self._expire_lease(attempt)
             case Submitted(spec):
                 return self._submit(spec)
             case Cancelled(job_id):
                 return self._cancel(offset, job_id)
             case WorkerSeen(spec):
-                return self._see_worker(spec)
+                return self._update_worker(spec)
             case Resized(job, size):
                 return self._resize(job, size)
             case Joined(scheduler):
@@ -219,7 +221,7 @@
         return ApplyResult.APPLIED
 
     def spec_of(self, job_id: str) -> JobSpec | None:
-        """Return the job under way or remembered under this id."""
+        """Return the specification of the unfinished or kept finished job with this id."""
         number = self.job_numbers.get(job_id)
         if number is not None:
             return self.jobs[number].spec
@@ -227,11 +229,11 @@
         return finished.spec if finished else None
 
     def last_finished(self, number: int) -> str:
-        """Return the id of the job finished last, if this was its number."""
+        """Return the id of the job that finished last if ``number`` is its number, else ""."""
         return self._last_finished[1] if self._last_finished[0] == number else ""
 
     def counts_of(self, job_id: str) -> JobCounts | None:
-        """Return where the tasks of the job under this id stand."""
+        """Return the task counts of the job with this id, or None for an unknown job."""
         number = self.job_numbers.get(job_id)
         if number is not None:
             return self.jobs[number].counts()
@@ -256,7 +258,7 @@
         return ApplyResult.APPLIED
 
     def _hand_over(self, job: int, hall: str) -> ApplyResult:
-        """Give the job's queued tasks to another hall, once for each job."""
+        """Hand the job's queued tasks over to another hall, at most once per job."""
         entry = self.jobs.get(job)
         if entry is None:
             return ApplyResult.UNKNOWN
@@ -270,17 +272,17 @@
                 checkpoint = entry.checkpoints.pop(index, "")
                 tasks.append(MovedTask(index, entry.attempts[index], checkpoint))
         self.handed[origin] = Handover(hall, TakenOver(origin, entry.spec, tuple(tasks)))
-        _keep_last(self.handed, HANDOVERS_KEPT)
+        _drop_oldest(self.handed, MAX_HANDOVERS)
         self._finish_if_over(entry)
         return ApplyResult.APPLIED
 
     def _take_over(self, taken: TakenOver) -> ApplyResult:
-        """Take up tasks that another hall's ledger has handed to this one."""
+        """Queue the tasks that another hall's ledger handed over to this hall."""
         spec = taken.spec
         if taken.origin in self.taken or self.spec_of(spec.job_id) is not None:
             return ApplyResult.DUPLICATE
         self.taken[taken.origin] = spec.job_id
-        _keep_last(self.taken, HANDOVERS_KEPT)
+        _drop_oldest(self.taken, MAX_HANDOVERS)
         entry = JobEntry(self.next_job, spec)
         entry.states = bytearray([TaskState.MOVED]) * spec.count
         for index, attempt, checkpoint in taken.tasks:
@@ -296,31 +298,31 @@
         return ApplyResult.APPLIED
 
     def _place(self, offset: int, attempt: AttemptId, worker: int) -> ApplyResult:
-        entry, account = self.jobs.get(attempt.job), self.workers.get(worker)
-        if entry is None or account is None or attempt.index >= entry.spec.count:
+        entry, worker_entry = self.jobs.get(attempt.job), self.workers.get(worker)
+        if entry is None or worker_entry is None or attempt.index >= entry.spec.count:
             return ApplyResult.UNKNOWN
         index = attempt.index
         queued = entry.states[index] == TaskState.QUEUED
         if not queued or attempt.attempt != entry.attempts[index] + 1:
             return ApplyResult.WRONG_STATE
-        if not entry.size.fits_within(account.room):
+        if not entry.size.fits_within(worker_entry.room):
             return ApplyResult.NO_ROOM
         entry.states[index] = TaskState.PLACED
         entry.attempts[index] = attempt.attempt
-        account.used += entry.size
-        account.tasks.add(attempt.task)
+        worker_entry.used += entry.size
+        worker_entry.tasks.add(attempt.task)
         self.placements[attempt.task] = Placement(worker, entry.size, offset)
         return ApplyResult.APPLIED
 
-    def _live(self, attempt: AttemptId) -> JobEntry | None:
-        """Return the job if exactly this attempt is placed or recalled."""
+    def _live_entry(self, attempt: AttemptId) -> JobEntry | None:
+        """Return the job's entry if this attempt is the current one and placed or recalled."""
         entry = self.jobs.get(attempt.job)
         if entry is None or attempt.task not in self.placements:
             return None
         return entry if entry.attempts[attempt.index] == attempt.attempt else None
 
     def _recall(self, offset: int, attempt: AttemptId) -> ApplyResult:
-        entry = self._live(attempt)
+        entry = self._live_entry(attempt)
         if entry is None or entry.states[attempt.index] != TaskState.PLACED:
             return ApplyResult.WRONG_STATE
         entry.states[attempt.index] = TaskState.RECALLED
@@ -330,7 +332,7 @@
         return ApplyResult.APPLIED
 
     def _end(self, attempt: AttemptId, outcome: Outcome) -> ApplyResult:
-        entry = self._live(attempt)
+        entry = self._live_entry(attempt)
         if entry is None:
             return ApplyResult.WRONG_STATE
         if outcome is Outcome.SUCCEEDED:
@@ -339,12 +341,12 @@
             return ApplyResult.APPLIED
         failures = entry.failures.get(attempt.index, 0) + 1
         entry.failures[attempt.index] = failures
-        again = entry.spec.repeatable and (entry.spec.restarts or failures < MAX_FAILURES)
-        self._release(entry, attempt, TaskState.QUEUED if again else TaskState.FAILED)
+        may_retry = entry.spec.repeatable and (entry.spec.restarts or failures < MAX_FAILURES)
+        self._release(entry, attempt, TaskState.QUEUED if may_retry else TaskState.FAILED)
         return ApplyResult.APPLIED
 
     def _evict(self, attempt: AttemptId, checkpoint: str, started: bool) -> ApplyResult:
-        entry = self._live(attempt)
+        entry = self._live_entry(attempt)
         if entry is None:
             return ApplyResult.WRONG_STATE
         resumable = entry.spec.repeatable or bool(checkpoint) or not started
@@ -353,24 +355,24 @@
         self._release(entry, attempt, TaskState.QUEUED if resumable else TaskState.LOST)
         return ApplyResult.APPLIED
 
-    def _lapse(self, attempt: AttemptId) -> ApplyResult:
-        entry = self._live(attempt)
+    def _expire_lease(self, attempt: AttemptId) -> ApplyResult:
+        entry = self._live_entry(attempt)
         if entry is None or entry.states[attempt.index] != TaskState.RECALLED:
             return ApplyResult.WRONG_STATE
         self._release_unproven(entry, attempt)
         return ApplyResult.APPLIED
 
     def _release_unproven(self, entry: JobEntry, attempt: AttemptId) -> None:
-        """End an attempt that surely stopped, but of which no more is known."""
+        """End an attempt that has certainly stopped, with an unknown outcome."""
         state = TaskState.QUEUED if entry.spec.repeatable else TaskState.LOST
         self._release(entry, attempt, state)
 
     def _release(self, entry: JobEntry, attempt: AttemptId, state: TaskState) -> None:
         placement = self.placements.pop(attempt.task)
         self.recalled.discard(attempt.task)
-        account = self.workers[placement.worker]
-        account.used -= placement.size
-        account.tasks.discard(attempt.task)
+        worker_entry = self.workers[placement.worker]
+        worker_entry.used -= placement.size
+        worker_entry.tasks.discard(attempt.task)
         if state is TaskState.QUEUED and attempt.attempt >= MAX_ATTEMPTS:
             state = TaskState.FAILED
         if state is TaskState.QUEUED and entry.cancelled:
@@ -387,25 +389,25 @@
         del self.jobs[entry.number]
         del self.job_numbers[entry.spec.job_id]
         self.finished[entry.spec.job_id] = Finished(entry.spec, entry.counts())
-        if len(self.finished) > FINISHED_KEPT:
+        if len(self.finished) > MAX_FINISHED_JOBS:
             self.finished.popitem(last=False)
 
-    def _see_worker(self, spec: WorkerSpec) -> ApplyResult:
+    def _update_worker(self, spec: WorkerSpec) -> ApplyResult:
         number = self.worker_numbers.get(spec.name)
         if number is None:
             number = len(self.worker_numbers) + 1
             self.worker_numbers[spec.name] = number
             self.workers[number] = WorkerEntry(number, spec)
             return ApplyResult.APPLIED
-        account = self.workers[number]
-        if spec == account.spec:
+        worker_entry = self.workers[number]
+        if spec == worker_entry.spec:
             return ApplyResult.DUPLICATE
-        if spec.incarnation < account.spec.incarnation:
+        if spec.incarnation < worker_entry.spec.incarnation:
             return ApplyResult.WRONG_STATE
-        restarted = spec.incarnation > account.spec.incarnation
-        account.spec = spec
+        restarted = spec.incarnation > worker_entry.spec.incarnation
+        worker_entry.spec = spec
         if restarted:
-            for task in sorted(account.tasks):
+            for task in sorted(worker_entry.tasks):
                 self._release_unproven(self.jobs[task.job], self.attempt_of(task))
         return ApplyResult.APPLIED
 
@@ -435,7 +437,7 @@
         self.expelled[scheduler] = offset
         return ApplyResult.APPLIED
 
-    def _forget_tombstones(self) -> None:
-        horizon = self.next_offset - WINDOW - 1
-        while self.tombstones and next(iter(self.tombstones.values())) < horizon:
+    def _drop_old_tombstones(self) -> None:
+        oldest = self.next_offset - MAX_READ_LAG_OFFSETS - 1
+        while self.tombstones and next(iter(self.tombstones.values())) < oldest:
             self.tombstones.popitem(last=False)
--- a/src/linkspan/ledger/records.py
+++ b/src/linkspan/ledger/records.py
@@ -1,4 +1,4 @@
-"""Typed records of a hall's ledger."""
+"""Records of a hall's ledger, and the decisions that they contain."""
 
 from __future__ import annotations
 
@@ -12,50 +12,50 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended by itself."""
+    """Outcome of an attempt that ended by itself."""
 
     SUCCEEDED = 0
     FAILED = 1
 
 
 class Placed(NamedTuple):
-    """The attempt is to run on the worker with this ledger number."""
+    """Assigns an attempt to the worker with this ledger number."""
 
     attempt: AttemptId
     worker: int
 
 
 class Ended(NamedTuple):
-    """The worker said that the attempt came to its end."""
+    """Reports that an attempt ended by itself, according to its worker."""
 
     attempt: AttemptId
     outcome: Outcome
 
 
 class Submitted(NamedTuple):
-    """A job was handed in."""
+    """Submits a job."""
 
     spec: JobSpec
 
 
 class WorkerSeen(NamedTuple):
-    """A worker's size and incarnation, from its own report."""
+    """Reports a worker's size and incarnation, from its own report."""
 
     spec: WorkerSpec
 
 
 class Cancelled(NamedTuple):
-    """A job is not wanted any more, whether it has arrived yet or not."""
+    """Cancels a job, even when its submission has not arrived yet."""
 
     job_id: str
 
 
 class Evicted(NamedTuple):
-    """The worker said that the attempt does not run and never will again.
+    """Reports that an attempt stopped for good without an end, according to its worker.
 
     Attributes:
         attempt: The attempt.
-        checkpoint: Where the next attempt resumes, empty for the beginning.
+        checkpoint: Checkpoint that the next attempt resumes from, "" to start over.
         started: Whether the attempt ever ran.
     """
 
@@ -65,50 +65,50 @@
 
 
 class Recalled(NamedTuple):
-    """No scheduler that has read this renews the attempt's lease."""
+    """Recalls an attempt: a scheduler that has applied this does not renew its lease."""
 
     attempt: AttemptId
 
 
 class Lapsed(NamedTuple):
-    """The recalled attempt's lease is proven to have ended by time alone."""
+    """Reports that the lease of a recalled attempt has certainly expired."""
 
     attempt: AttemptId
 
 
 class Resized(NamedTuple):
-    """Later attempts of the job reserve this size."""
+    """Sets the size that later attempts of a job reserve."""
 
     job: int
     size: Resources
 
 
 class Joined(NamedTuple):
-    """A scheduler that may renew leases from here on."""
+    """Adds a scheduler, which may renew leases from this record on."""
 
     scheduler: str
 
 
 class Left(NamedTuple):
-    """A scheduler that renews nothing any more."""
+    """Removes a scheduler, which no longer renews leases."""
 
     scheduler: str
 
 
 class Expelled(NamedTuple):
-    """A silent scheduler that renews nothing once it has read this."""
+    """Expels a silent scheduler, which renews no lease once it has applied this."""
 
     scheduler: str
 
 
 class SnapshotPart(NamedTuple):
-    """A piece of the folded state, for readers that come after retention.
+    """One part of a snapshot, for readers that start after old records were dropped.
 
     Attributes:
-        as_of: First offset that is not folded in.
-        part: Number of this piece, from 0.
-        parts: Number of pieces.
-        body: The piece.
+        as_of: First offset that the snapshot does not contain.
+        part: Index of this part, from 0.
+        parts: Number of parts.
+        body: Bytes of this part.
     """
 
     as_of: int
@@ -118,14 +118,14 @@
 
 
 class HandedOver(NamedTuple):
-    """The job's queued tasks belong to another hall's ledger from here on."""
+    """Hands a job's queued tasks over to another hall's ledger."""
 
     job: int
     hall: str
 
 
 class MovedTask(NamedTuple):
-    """A task that another hall takes up: its last attempt and where to resume."""
+    """A task that another hall takes over, with its last attempt and its checkpoint."""
 
     index: int  # type: ignore[assignment]
     attempt: int
@@ -133,10 +133,10 @@
 
 
 class TakenOver(NamedTuple):
-    """Tasks that another hall's ledger has handed over, in that order of records.
+    """Takes over tasks that another hall's ledger has handed over.
 
     Attributes:
-        origin: The other hall and the job's number there, as ``HALL/NUMBER``.
+        origin: The other hall and the job's number in its ledger, as ``HALL/NUMBER``.
         spec: The job.
         tasks: The tasks that were handed over.
     """
@@ -167,13 +167,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One append: the decisions of one writer, applied in order.
+    """One append to the log: decisions of one writer, applied in order.
 
     Attributes:
-        writer: Scheduler that appended it.
-        serial: The writer's own count of its records.
+        writer: Scheduler that appended the record.
+        serial: Sequence number among the writer's records.
         read_offset: First offset that the writer had not read.
-        decisions: What it decided.
+        decisions: The decisions.
     """
 
     writer: str
--- a/src/linkspan/ledger/run_keys.py
+++ b/src/linkspan/ledger/run_keys.py
@@ -1,4 +1,4 @@
-"""Attempts by the names that workers know them by."""
+"""Conversion between attempt ids of the ledger and the keys that workers use."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_key(hall: str, attempt: AttemptId) -> AttemptKey:
-    """Return the attempt's name towards workers.
+    """Return the key under which workers know an attempt.
 
     Example:
         >>> run_key("rennes-a", AttemptId(7, 2, 1))
@@ -22,16 +22,16 @@
 
 
 def attempt_of_run(hall: str, run: AttemptKey) -> AttemptId | None:
-    """Return the attempt that a worker names, None if it is not of this hall."""
-    named, _, rest = run.task.rpartition("/")
+    """Return the attempt for a worker's key, or None if the key is not of this hall."""
+    key_hall, _, rest = run.task.rpartition("/")
     job, _, index = rest.partition(".")
-    if named != hall or not (job.isdecimal() and index.isdecimal()):
+    if key_hall != hall or not (job.isdecimal() and index.isdecimal()):
         return None
     return AttemptId(int(job), int(index), run.attempt)
 
 
 def worker_of(ledger: Ledger, attempt: AttemptId) -> int:
-    """Return the number of the worker that has this very attempt, or 0."""
+    """Return the number of the worker on which this attempt is placed, or 0."""
     placement = ledger.placements.get(attempt.task)
     if placement is None or ledger.attempt_of(attempt.task) != attempt:
         return 0
--- a/src/linkspan/ledger/snapshot.py
+++ b/src/linkspan/ledger/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the ledger, and the way back from one."""
+"""Snapshots of the ledger, and recovery of a ledger from them."""
 
 from __future__ import annotations
 
@@ -28,96 +28,97 @@
     from collections.abc import Iterable
 
 PART_BYTES = 128 * 1024
-"""Size of a snapshot's pieces, well under a record's limit."""
+"""Size of the parts of a snapshot: half of the limit on a record, ``MAX_RECORD_BYTES``."""
 
 
 def snapshot_parts(ledger: Ledger) -> list[SnapshotPart]:
-    """Return the ledger's whole state in pieces that fit a record each."""
-    body = zlib.compress(orjson.dumps(_dump(ledger), default=list), level=6)
-    pieces = [body[at : at + PART_BYTES] for at in range(0, len(body), PART_BYTES)]
+    """Return the ledger's whole state in parts that each fit into a record."""
+    body = zlib.compress(orjson.dumps(_state_to_json(ledger), default=list), level=6)
+    parts = [body[start : start + PART_BYTES] for start in range(0, len(body), PART_BYTES)]
     as_of = ledger.next_offset
-    return [SnapshotPart(as_of, n, len(pieces), piece) for n, piece in enumerate(pieces)]
+    return [SnapshotPart(as_of, index, len(parts), part) for index, part in enumerate(parts)]
 
 
 def restore(hall: str, as_of: int, body: bytes) -> Ledger:
-    """Return the ledger of a snapshot's joined pieces.
+    """Return the ledger from the joined parts of a snapshot.
 
     Raises:
-        RecordError: The pieces are damaged.
+        RecordError: The parts are damaged.
     """
     try:
-        return _load(hall, as_of, orjson.loads(zlib.decompress(body)))
+        return _state_from_json(hall, as_of, orjson.loads(zlib.decompress(body)))
     except (KeyError, TypeError, ValueError, zlib.error) as error:
-        raise RecordError(f"not a snapshot: {error!r}; wait for the next one") from error
+        raise RecordError(f"invalid snapshot: {error!r}; a later one is needed") from error
 
 
 class Recovery:
-    """Finds the newest usable state in a stream that may have lost its start.
+    """Recovers a ledger from a stream whose oldest records may have been dropped.
 
-    Feed it records in order; :attr:`ledger` is set as soon as the state is
-    known, and is kept up to date from then on.
+    :meth:`feed` must receive the records in log order. :attr:`ledger` is None
+    until the state is known: at once when the log still has its first record, otherwise
+    after a complete snapshot. Afterwards :meth:`feed` keeps the ledger up to date.
 
     Args:
         hall: The hall whose stream is read.
-        first: First offset that the log still holds.
+        first: First offset that the log still has.
     """
 
     def __init__(self, hall: str, first: int) -> None:
         self._hall = hall
         self._first = first
         self._parts: dict[tuple[str, int], dict[int, bytes]] = {}
-        self._waiting: list[tuple[int, Record]] = []
+        self._buffered: list[tuple[int, Record]] = []
         self.ledger: Ledger | None = Ledger(hall) if first == 0 else None
 
     def __repr__(self) -> str:
-        return f"Recovery({self._hall!r}, first={self._first}, waiting={len(self._waiting)})"
+        return f"Recovery({self._hall!r}, first={self._first}, buffered={len(self._buffered)})"
 
     def feed(self, records: Iterable[tuple[int, Record]]) -> None:
-        """Take in records in the log's order."""
+        """Process records in log order."""
         for offset, record in records:
             if self.ledger is not None:
                 self.ledger.apply(offset, record)
                 continue
-            self._waiting.append((offset, record))
-            self._look_for_snapshot(record)
+            self._buffered.append((offset, record))
+            self._collect_snapshot_part(record)
 
-    def _look_for_snapshot(self, record: Record) -> None:
+    def _collect_snapshot_part(self, record: Record) -> None:
         for decision in record.decisions:
             if not isinstance(decision, SnapshotPart) or decision.as_of < self._first:
                 continue
             parts = self._parts.setdefault((record.writer, decision.as_of), {})
             parts[decision.part] = decision.body
             if len(parts) == decision.parts:
-                body = b"".join(parts[n] for n in range(decision.parts))
-                self._start_from(decision.as_of, body)
+                body = b"".join(parts[index] for index in range(decision.parts))
+                self._restore(decision.as_of, body)
 
-    def _start_from(self, as_of: int, body: bytes) -> None:
+    def _restore(self, as_of: int, body: bytes) -> None:
         try:
             ledger = restore(self._hall, as_of, body)
         except RecordError:
             return
-        for offset, record in self._waiting:
+        for offset, record in self._buffered:
             ledger.apply(offset, record)
         self.ledger = ledger
-        self._waiting.clear()
+        self._buffered.clear()
         self._parts.clear()
 
 
-def _text(body: bytes) -> str:
+def _to_base64(body: bytes) -> str:
     return b64encode(body).decode()
 
 
-def _dump(ledger: Ledger) -> dict[str, Any]:
+def _state_to_json(ledger: Ledger) -> dict[str, Any]:
     return {
         "next_job": ledger.next_job,
-        "jobs": [_dump_job(entry) for entry in ledger.jobs.values()],
+        "jobs": [_job_to_row(entry) for entry in ledger.jobs.values()],
         "workers": [[w.number, worker_to_json(w.spec).decode()] for w in ledger.workers.values()],
         "placements": [[*task, *place] for task, place in ledger.placements.items()],
         "schedulers": ledger.schedulers,
         "expelled": ledger.expelled,
         "finished": [
-            [job_to_json(done.spec).decode(), list(done.counts)]
-            for done in ledger.finished.values()
+            [job_to_json(finished.spec).decode(), list(finished.counts)]
+            for finished in ledger.finished.values()
         ],
         "tombstones": list(ledger.tombstones.items()),
         "handed": [[h.hall, taken_to_json(h.taken).decode()] for h in ledger.handed.values()],
@@ -125,20 +126,20 @@
     }
 
 
-def _dump_job(entry: JobEntry) -> list[Any]:
+def _job_to_row(entry: JobEntry) -> list[Any]:
     return [
         entry.number,
         job_to_json(entry.spec).decode(),
         list(entry.size),
         entry.cancelled,
-        _text(bytes(entry.states)),
-        _text(entry.attempts.tobytes()),
+        _to_base64(bytes(entry.states)),
+        _to_base64(entry.attempts.tobytes()),
         list(entry.checkpoints.items()),
         list(entry.failures.items()),
     ]
 
 
-def _load_job(row: list[Any]) -> JobEntry:
+def _job_from_row(row: list[Any]) -> JobEntry:
     number, spec, size, cancelled, states, attempts, checkpoints, failures = row
     entry = JobEntry(number, job_from_json(spec.encode()))
     entry.size = Resources(*size)
@@ -150,20 +151,20 @@
     return entry
 
 
-def _load(hall: str, as_of: int, state: dict[str, Any]) -> Ledger:
+def _state_from_json(hall: str, as_of: int, state: dict[str, Any]) -> Ledger:
     ledger = Ledger(hall)
     ledger.next_offset = as_of
     ledger.next_job = state["next_job"]
     for row in state["jobs"]:
-        entry = _load_job(row)
+        entry = _job_from_row(row)
         ledger.jobs[entry.number] = entry
         ledger.job_numbers[entry.spec.job_id] = entry.number
     for number, spec in state["workers"]:
-        account = WorkerEntry(number, worker_from_json(spec.encode()))
-        ledger.workers[number] = account
-        ledger.worker_numbers[account.spec.name] = number
+        worker_entry = WorkerEntry(number, worker_from_json(spec.encode()))
+        ledger.workers[number] = worker_entry
+        ledger.worker_numbers[worker_entry.spec.name] = number
     for job, index, worker, size, offset, recalled in state["placements"]:
-        _load_placement(
+        _restore_placement(
             ledger, TaskId(job, index), Placement(worker, Resources(*size), offset, recalled)
         )
     ledger.schedulers = state["schedulers"]
@@ -172,17 +173,17 @@
         job = job_from_json(spec.encode())
         ledger.finished[job.job_id] = Finished(job, JobCounts(*counts))
     ledger.tombstones.update(state["tombstones"])
-    for target, body in state["handed"]:
+    for target_hall, body in state["handed"]:
         taken = taken_from_json(body.encode())
-        ledger.handed[taken.origin] = Handover(target, taken)
+        ledger.handed[taken.origin] = Handover(target_hall, taken)
     ledger.taken.update(state["taken"])
     return ledger
 
 
-def _load_placement(ledger: Ledger, task: TaskId, placement: Placement) -> None:
+def _restore_placement(ledger: Ledger, task: TaskId, placement: Placement) -> None:
     ledger.placements[task] = placement
     if placement.recalled >= 0:
         ledger.recalled.add(task)
-    account = ledger.workers[placement.worker]
-    account.used += placement.size
-    account.tasks.add(task)
+    worker_entry = ledger.workers[placement.worker]
+    worker_entry.used += placement.size
+    worker_entry.tasks.add(task)
--- a/src/linkspan/scheduler/core.py
+++ b/src/linkspan/scheduler/core.py
@@ -263,7 +263,11 @@
         lags, so absence from it does not prove that the worker stopped.
         """
         wanted = set(names)
-        wanted |= {account.spec.name for account in self.ledger.workers.values() if account.tasks}
+        wanted |= {
+            worker_entry.spec.name
+            for worker_entry in self.ledger.workers.values()
+            if worker_entry.tasks
+        }
         for name in sorted(wanted - self.workers.keys()):
             self.workers[name] = WorkerView(name, now)
         for name in self.workers.keys() - wanted:
@@ -380,8 +384,8 @@
                 self._schedule_exchange(self.ledger.placements[TaskId(number, index)].worker)
 
     def _schedule_exchange(self, worker: int) -> None:
-        account = self.ledger.workers.get(worker)
-        view = self.workers.get(account.spec.name) if account is not None else None
+        worker_entry = self.ledger.workers.get(worker)
+        view = self.workers.get(worker_entry.spec.name) if worker_entry is not None else None
         if view is not None:
             soon = view.last_exchange + self.timing.min_exchange_interval_s
             view.next_exchange = min(view.next_exchange, soon)
--- a/src/linkspan/scheduler/history.py
+++ b/src/linkspan/scheduler/history.py
@@ -100,8 +100,8 @@
 
 
 def _worker_name(ledger: Ledger, number: int) -> str:
-    account = ledger.workers.get(number)
-    return account.spec.name if account else f"worker {number}"
+    worker_entry = ledger.workers.get(number)
+    return worker_entry.spec.name if worker_entry else f"worker {number}"
 
 
 def explain(ledger: Ledger, history: History, obstacles: dict[int, Any], job_id: str) -> Any:
--- a/src/linkspan/scheduler/status.py
+++ b/src/linkspan/scheduler/status.py
@@ -32,11 +32,11 @@
             "tail_age_s": round(now - core.tail_read, 3),
         },
         "workers": {
-            account.spec.name: {
-                "size": list(account.spec.size),
-                "used": list(account.used),
-                "tasks": len(account.tasks),
+            worker_entry.spec.name: {
+                "size": list(worker_entry.spec.size),
+                "used": list(worker_entry.used),
+                "tasks": len(worker_entry.tasks),
             }
-            for account in ledger.workers.values()
+            for worker_entry in ledger.workers.values()
         },
     }
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from linkspan.ledger.job_entry import JobCounts, TaskState
-from linkspan.ledger.ledger import MAX_FAILURES, WINDOW, ApplyResult, Ledger
+from linkspan.ledger.ledger import MAX_FAILURES, MAX_READ_LAG_OFFSETS, ApplyResult, Ledger
 from linkspan.ledger.records import (
     Cancelled,
     Ended,
@@ -74,7 +74,7 @@
 
 def test_late_record_is_ignored() -> None:
     built = LedgerBuilder().with_worker()
-    for _ in range(WINDOW):
+    for _ in range(MAX_READ_LAG_OFFSETS):
         built.apply()
     assert built.apply(Submitted(job()), read_offset=0) == [ApplyResult.LATE]
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -55,7 +55,7 @@
 
 
 def _requeue_recalled(self: Ledger, offset: int, attempt: Any) -> ApplyResult:
-    entry = self._live(attempt)
+    entry = self._live_entry(attempt)
     if entry is None:
         return ApplyResult.WRONG_STATE
     self._release_unproven(entry, attempt)
