--- a/src/linkspan/placement/__init__.py
+++ b/src/linkspan/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which worker gets which task: feasibility, order, policies and learning."""
+"""Placement of tasks on workers: feasibility, queue order, policies and learned models."""
--- a/src/linkspan/placement/colocation.py
+++ b/src/linkspan/placement/colocation.py
@@ -1,4 +1,4 @@
-"""What shares each worker, how services fare there, and what to do about it."""
+"""Colocation of batch tasks with services: tracks their interference and limits it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from linkspan.placement.company_history import CompanyHistory
 from linkspan.placement.guard import (
-    RISE,
+    LOAD_RISE,
     THROUGHPUT_FIRST,
     BatchState,
     Guard,
     GuardWeights,
     ServiceState,
-    kinds_beside,
+    count_by_kind,
 )
 from linkspan.placement.interference import InterferenceModel
 
@@ -23,30 +23,30 @@
 
     from linkspan.placement.guard import Action
 
-ADMIT_MARGIN = 0.04
-"""How far below the guard's limit a placement must leave the services."""
+ADMISSION_MARGIN = 0.04
+"""Distance to the guard's limit that the predicted latency keeps when a task is admitted."""
 
-UNSEEN = 2.0
-"""An effect seen less than this is a guess."""
+MIN_SAMPLES = 2.0
+"""Samples below which a learned effect counts as unknown."""
 
-BIAS_RATE = 0.15
-"""Weight of a new measurement in a worker's bias."""
+BIAS_WEIGHT = 0.15
+"""Weight of a new measurement in the moving average of a worker's bias."""
 
 LOAD_WINDOW_S = 3.0
-"""Measurements this far apart count as of one moment."""
+"""Time within which measurements of a load count as simultaneous and are averaged."""
 
 MAX_BIAS = 0.1
-"""Most that a worker's bias adds to a prediction."""
+"""Limit on the bias that a worker adds to a predicted latency over target."""
 
-TRIALS = 3
-"""Tasks of a kind that may run at once while its effect is a guess."""
+MAX_TRIALS = 3
+"""Limit on the concurrent tasks of a kind whose effect is unknown."""
 
 
 class ServiceLoad:
-    """A service's load now, from reports of all its tasks that come late.
+    """Estimates a service's current load from delayed reports of all its tasks.
 
-    The gateways spread a service's requests evenly, so the freshest report of
-    any task tells the load of all.
+    The gateways spread a service's requests evenly, so that the latest report of any
+    task gives the load of all its tasks.
     """
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         return f"ServiceLoad(latest={self.latest:.2f}, measured={self._measured})"
 
     def note(self, load: float, measured: float) -> None:
-        """Take in a task's load, measured at this time in seconds."""
+        """Add a task's load that was measured at ``measured``, in seconds."""
         if measured < self._measured - LOAD_WINDOW_S:
             return
         weight = 0.5 if measured <= self._measured + LOAD_WINDOW_S else 1.0
@@ -66,8 +66,8 @@
 
 
 @dataclass(slots=True)
-class _Site:
-    """One worker."""
+class _WorkerState:
+    """State of one worker."""
 
     guard: Guard
     history: CompanyHistory = field(default_factory=CompanyHistory)
@@ -76,23 +76,25 @@
 
 
 class Colocation:
-    """Admits batch work beside services, and relieves those that suffer.
+    """Admits batch tasks to workers with services, and protects services from interference.
 
     Args:
-        weights: The customer's weights of tails against batch work.
-        explores: Whether unknown pairs are tried one at a time on a worker.
+        weights: The customer's trade-off between tail latency and batch throughput.
+        explores: Whether tasks with unknown effects are tried in limited numbers:
+            at most ``MAX_TRIALS`` of a kind in all, and one per worker. Otherwise
+            they are admitted by their prior effect alone.
     """
 
     def __init__(self, weights: GuardWeights = THROUGHPUT_FIRST, *, explores: bool = True) -> None:
         self.model = InterferenceModel()
         self._weights = weights
         self._explores = explores
-        self._sites: dict[str, _Site] = {}
-        self._running: Counter[str] = Counter()
+        self._worker_states: dict[str, _WorkerState] = {}
+        self._running_by_kind: Counter[str] = Counter()
         self._loads: dict[str, ServiceLoad] = {}
 
     def __repr__(self) -> str:
-        return f"Colocation(workers={len(self._sites)}, model={self.model!r})"
+        return f"Colocation(workers={len(self._worker_states)}, model={self.model!r})"
 
     def note_company(
         self,
@@ -101,109 +103,116 @@
         services: Mapping[object, str],
         batch: Sequence[BatchState],
     ) -> None:
-        """Take in what runs on a worker from a moment on.
+        """Record the tasks that run on a worker from a point in time on.
 
         Args:
-            worker: The worker.
-            when: The moment, in seconds on the worker's clock.
-            services: Kind of each service's task on it.
-            batch: The batch tasks on it.
+            worker: Name of the worker.
+            when: The time in seconds, on the clock of the measurements.
+            services: Kinds of the service tasks on the worker, by task key.
+            batch: The batch tasks on the worker.
         """
-        site = self._site(worker)
-        self._running.subtract(task.kind for task in site.batch)
-        self._running.update(task.kind for task in batch)
-        site.batch = batch
-        site.history.note(when, kinds_beside(batch))
-        site.services = {
-            key: site.services.get(key, ServiceState(kind, 0.5, 0.0, float("-inf")))
+        worker_state = self._state_of(worker)
+        self._running_by_kind.subtract(task.kind for task in worker_state.batch)
+        self._running_by_kind.update(task.kind for task in batch)
+        worker_state.batch = batch
+        worker_state.history.note(when, count_by_kind(batch))
+        worker_state.services = {
+            key: worker_state.services.get(key, ServiceState(kind, 0.5, 0.0, float("-inf")))
             for key, kind in services.items()
         }
 
     def note_measured(
         self, worker: str, key: object, load: float, latency: float, when: float
     ) -> None:
-        """Take in a late measurement of a service's task.
+        """Learn from a delayed measurement of a service task.
 
         Args:
-            worker: The worker.
-            key: The service's task there.
-            load: Its load when measured, from 0 to 1.
-            latency: Its latency over target.
-            when: When it was measured, in seconds on the worker's clock.
+            worker: Name of the worker.
+            key: Key of the service task.
+            load: Load at the time of the measurement, from 0 to 1.
+            latency: Latency over target.
+            when: Time of the measurement in seconds, on the clock of :meth:`note_company`.
         """
-        site = self._site(worker)
-        known = site.services.get(key)
+        worker_state = self._state_of(worker)
+        known = worker_state.services.get(key)
         if known is None or when <= known.measured:
             return
-        kinds = site.history.at(when)
+        kinds = worker_state.history.at(when)
         bias = known.bias
         if kinds is not None:
             self.model.learn(known.kind, load, kinds, latency)
             error = latency - self.model.predict(known.kind, load, kinds)
-            bias = min(MAX_BIAS, max(0.0, bias + BIAS_RATE * (error - bias)))
-        site.services[key] = ServiceState(known.kind, load, latency, when, bias)
+            bias = min(MAX_BIAS, max(0.0, bias + BIAS_WEIGHT * (error - bias)))
+        worker_state.services[key] = ServiceState(known.kind, load, latency, when, bias)
         self._loads.setdefault(known.kind, ServiceLoad()).note(load, when)
 
-    def _states(self, site: _Site) -> list[ServiceState]:
-        """Return the worker's services at the newest load known of each anywhere."""
+    def _services_at_latest_load(self, worker_state: _WorkerState) -> list[ServiceState]:
+        """Return the worker's service tasks, with the latest known loads of their services."""
         return [
             state._replace(load=self._loads[state.kind].latest)
             if state.kind in self._loads
             else state
-            for state in site.services.values()
+            for state in worker_state.services.values()
         ]
 
     def predicted_with(
-        self, worker: str, kind: str, *, company: Mapping[str, float] | None = None
+        self, worker: str, kind: str, *, counts: Mapping[str, float] | None = None
     ) -> float | None:
-        """Return the worst latency over target with one more task of a kind.
+        """Predict the highest latency over target with one more task of a kind on the worker.
 
         Args:
-            worker: The worker.
+            worker: Name of the worker.
             kind: Kind of the task.
-            company: Number of tasks by kind that are or will be on the worker,
-                services among them; without it, what was last noted.
+            counts: Number of tasks by kind that are or will be on the worker,
+                including services. Defaults to the batch tasks last recorded.
 
         Returns:
-            None when that is too much, or would try too many unknown pairs.
+            The prediction, or None if it is above the limit for admission or the
+            task would exceed the limits on trials of unknown kinds.
         """
-        site = self._site(worker)
-        if not site.services:
+        worker_state = self._state_of(worker)
+        if not worker_state.services:
             return 0.0
-        beside = dict(kinds_beside(site.batch) if company is None else company)
-        for state in site.services.values():
-            beside.pop(state.kind, None)
-        if self._explores and self._would_guess_too_much(site, kind, beside):
+        colocated = dict(count_by_kind(worker_state.batch) if counts is None else counts)
+        for state in worker_state.services.values():
+            colocated.pop(state.kind, None)
+        if self._explores and self._exceeds_trial_limits(worker_state, kind, colocated):
             return None
-        beside[kind] = beside.get(kind, 0.0) + 1.0
-        worst = max(
-            self.model.predict(s.kind, min(1.0, s.load + RISE), beside) + s.bias
-            for s in self._states(site)
+        colocated[kind] = colocated.get(kind, 0.0) + 1.0
+        highest = max(
+            self.model.predict(s.kind, min(1.0, s.load + LOAD_RISE), colocated) + s.bias
+            for s in self._services_at_latest_load(worker_state)
         )
-        return worst if worst <= self._weights.limit - ADMIT_MARGIN else None
+        return highest if highest <= self._weights.limit - ADMISSION_MARGIN else None
 
-    def _would_guess_too_much(self, site: _Site, kind: str, beside: Mapping[str, float]) -> bool:
-        states = self._states(site)
-        if not self._is_guess(states, kind):
+    def _exceeds_trial_limits(
+        self, worker_state: _WorkerState, kind: str, colocated: Mapping[str, float]
+    ) -> bool:
+        services = self._services_at_latest_load(worker_state)
+        if not self._is_unknown(services, kind):
             return False
-        if self._running[kind] >= TRIALS:
+        if self._running_by_kind[kind] >= MAX_TRIALS:
             return True
-        return any(self._is_guess(states, other) for other in beside)
+        return any(self._is_unknown(services, other) for other in colocated)
 
-    def _is_guess(self, states: Sequence[ServiceState], kind: str) -> bool:
-        return any(self.model.kept_effect(s.kind, s.load, kind).seen < UNSEEN for s in states)
+    def _is_unknown(self, services: Sequence[ServiceState], kind: str) -> bool:
+        return any(
+            self.model.cached_effect(s.kind, s.load, kind).samples < MIN_SAMPLES for s in services
+        )
 
     def decide(self, worker: str, now: float) -> list[Action]:
-        """Return what to do on a worker.
+        """Return the actions that the guard takes on a worker now.
 
         Args:
-            worker: The worker.
-            now: Time in seconds on the worker's clock.
+            worker: Name of the worker.
+            now: Time in seconds, on the clock of the measurements.
         """
-        site = self._site(worker)
-        return site.guard.decide(self._states(site), site.batch, now)
+        worker_state = self._state_of(worker)
+        return worker_state.guard.decide(
+            self._services_at_latest_load(worker_state), worker_state.batch, now
+        )
 
-    def _site(self, worker: str) -> _Site:
-        if worker not in self._sites:
-            self._sites[worker] = _Site(Guard(self.model, self._weights))
-        return self._sites[worker]
+    def _state_of(self, worker: str) -> _WorkerState:
+        if worker not in self._worker_states:
+            self._worker_states[worker] = _WorkerState(Guard(self.model, self._weights))
+        return self._worker_states[worker]
--- a/src/linkspan/placement/company_history.py
+++ b/src/linkspan/placement/company_history.py
@@ -1,4 +1,4 @@
-"""What ran on a worker at a moment that has passed."""
+"""History of the tasks that ran together on a worker."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-KEPT = 64
-"""Changes of company remembered for a worker, enough for reports 30 s late."""
+MAX_CHANGES = 64
+"""Limit on the changes kept per worker, sufficient for reports that are 30 s late."""
 
 
 class CompanyHistory:
-    """Tasks by kind over time, on one worker.
+    """Number of tasks by kind over time, on one worker.
 
     Example:
         >>> history = CompanyHistory()
@@ -24,26 +24,26 @@
     """
 
     def __init__(self) -> None:
-        self._changes: deque[tuple[float, Mapping[str, float]]] = deque(maxlen=KEPT)
+        self._changes: deque[tuple[float, Mapping[str, float]]] = deque(maxlen=MAX_CHANGES)
 
     def __repr__(self) -> str:
         return f"CompanyHistory(changes={len(self._changes)})"
 
     @property
     def changed(self) -> float:
-        """When the company last changed, in seconds on the worker's clock."""
+        """Time of the latest change in seconds, negative infinity before the first one."""
         return self._changes[-1][0] if self._changes else float("-inf")
 
     def note(self, when: float, kinds: Mapping[str, float]) -> None:
-        """Remember what runs from this moment on, in order of time."""
+        """Record the tasks that run from ``when`` on; times must not decrease."""
         if not self._changes or self._changes[-1][1] != kinds:
             self._changes.append((when, dict(kinds)))
 
     def at(self, when: float) -> Mapping[str, float] | None:
-        """Return what ran at this moment, None when that is not known."""
-        found = None
-        for changed, kinds in self._changes:
-            if changed > when:
+        """Return the number of tasks by kind at ``when``, or None for a time before the history."""
+        result = None
+        for changed_at, kinds in self._changes:
+            if changed_at > when:
                 break
-            found = kinds
-        return found
+            result = kinds
+        return result
--- a/src/linkspan/placement/guard.py
+++ b/src/linkspan/placement/guard.py
@@ -1,4 +1,4 @@
-"""Keeps services inside their targets: throttle first, then evict, then wait."""
+"""Keeps services within their latency targets: throttles batch tasks first, then evicts them."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
     from linkspan.placement.interference import InterferenceModel
 
-SETTLE_S = 15.0
-"""Time after a step in which late reports still tell of the time before it."""
+MIN_RELEASE_DELAY_S = 15.0
+"""Minimum time between an action and a release: reports in between may predate the action."""
 
 THROTTLED = 0.4
-"""Part of full speed at which a throttled task runs."""
+"""Speed of a throttled task, as a part of full speed."""
 
 RELEASE_MARGIN = 0.06
-"""How far below the limit services must be with a throttled task at full speed."""
+"""Distance to the limit that predicted latency keeps when a throttled task is released."""
 
-RISE = 0.05
-"""How much the load is taken to rise before the next step can act."""
+LOAD_RISE = 0.05
+"""Rise of the load that predictions allow for until the next action is possible."""
 
 
 class ServiceState(NamedTuple):
-    """A service's task on a worker.
+    """A service task on a worker.
 
     Attributes:
         kind: Kind of service.
-        load: Its load now, from 0 to 1.
-        latency: Latest measured latency over target, 0 without one.
-        measured: When that was measured, in seconds.
-        bias: By how much this worker's latency is above the prediction.
+        load: Current load, from 0 to 1.
+        latency: Latest measured latency over target, 0 before the first one.
+        measured: Time of that measurement, in seconds.
+        bias: Excess of the measured latency on this worker over the prediction.
     """
 
     kind: str
@@ -46,10 +46,10 @@
     """A batch task on a worker.
 
     Attributes:
-        key: Names the task to the caller.
+        key: The caller's identifier of the task.
         kind: Kind of work.
         at_risk_s: Work that an eviction would lose, in seconds.
-        throttled: Whether it runs at ``THROTTLED`` now.
+        throttled: Whether the task currently runs at ``THROTTLED``.
     """
 
     key: object
@@ -59,7 +59,7 @@
 
 
 class Measure(Enum):
-    """What may be done to a batch task."""
+    """Kind of action on a batch task."""
 
     THROTTLE = "throttle"
     RELEASE = "release"
@@ -67,12 +67,12 @@
 
 
 class Action(NamedTuple):
-    """What is to be done to a batch task, and on which figure.
+    """An action on a batch task, with the prediction behind it.
 
     Attributes:
-        measure: What is done.
-        key: The task.
-        predicted: Latency over target that is expected without it.
+        measure: Kind of action.
+        key: The caller's identifier of the task.
+        predicted: Predicted latency over target after the action.
     """
 
     measure: Measure
@@ -82,13 +82,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardWeights:
-    """How much a customer weighs tails against batch work.
+    """A customer's trade-off between tail latency and batch throughput.
 
     Attributes:
-        limit: Latency over target above which something is done.
-        eviction_cost: Seconds of work that an eviction counts as losing,
-            beside what it does lose.
-        patience_s: How long throttling is tried before a task is evicted.
+        limit: Latency over target above which the guard acts.
+        eviction_cost: Fixed cost of an eviction in seconds of work, in addition to
+            the work that is lost.
+        patience_s: Time in seconds for which throttling is tried before an eviction.
     """
 
     limit: float = 0.96
@@ -101,110 +101,119 @@
 
 
 class Guard:
-    """Watches one worker.
+    """Decides on throttling and eviction on one worker.
 
     Args:
-        model: What is learnt of interference.
-        weights: The customer's weights.
+        model: The learned interference model.
+        weights: The customer's trade-off.
     """
 
     def __init__(self, model: InterferenceModel, weights: GuardWeights | None = None) -> None:
         self._model = model
         self._weights = weights or GuardWeights()
-        self._acted = float("-inf")
-        self._pressed_since: float | None = None
+        self._last_action_at = float("-inf")
+        self._over_limit_since: float | None = None
 
     def __repr__(self) -> str:
-        return f"Guard(acted={self._acted}, pressed_since={self._pressed_since})"
+        return f"Guard(acted={self._last_action_at}, over_limit_since={self._over_limit_since})"
 
     def decide(
         self, services: Sequence[ServiceState], batch: Sequence[BatchState], now: float
     ) -> list[Action]:
-        """Return what to do now.
+        """Return the actions to take now.
 
         Args:
-            services: The services' tasks on the worker.
-            batch: The batch tasks on it.
+            services: The service tasks on the worker.
+            batch: The batch tasks on the worker.
             now: Time in seconds, on the clock of ``ServiceState.measured``.
         """
         if not services or not batch:
             return []
-        worst = max(services, key=lambda s: self._pressure(s, batch))
-        if self._pressure(worst, batch) > self._weights.limit:
-            return self._relieve(worst, list(batch), now)
-        self._pressed_since = None
+        worst = max(services, key=lambda s: self._expected_latency(s, batch))
+        if self._expected_latency(worst, batch) > self._weights.limit:
+            return self._reduce_latency(worst, list(batch), now)
+        self._over_limit_since = None
         return self._release(services, batch, now)
 
-    def _pressure(self, service: ServiceState, batch: Sequence[BatchState]) -> float:
-        """Return the latency over target to reckon with.
+    def _expected_latency(self, service: ServiceState, batch: Sequence[BatchState]) -> float:
+        """Return the latency over target to expect until the next action.
 
-        A measurement from after the last step counts as it is; an older one
-        only through what the model learnt from it.
+        This is the higher of the prediction and the latest measurement, if the latter
+        is newer than the last action. Older measurements count only through the model.
         """
-        load = min(1.0, service.load + RISE)
-        predicted = self._model.predict(service.kind, load, kinds_beside(batch)) + service.bias
-        if service.measured > self._acted and service.latency:
+        load = min(1.0, service.load + LOAD_RISE)
+        predicted = self._model.predict(service.kind, load, count_by_kind(batch)) + service.bias
+        if service.measured > self._last_action_at and service.latency:
             return max(service.latency, predicted)
         return predicted
 
-    def _relieve(self, service: ServiceState, batch: list[BatchState], now: float) -> list[Action]:
-        """Throttle until the prediction is below the limit, and evict after a while."""
-        if self._pressed_since is None:
-            self._pressed_since = now
+    def _reduce_latency(
+        self, service: ServiceState, batch: list[BatchState], now: float
+    ) -> list[Action]:
+        """Throttle tasks until the expected latency is within the limit.
+
+        If throttling is exhausted and ``patience_s`` has passed since the last action and
+        since the latency first exceeded the limit, evict a task instead.
+        """
+        if self._over_limit_since is None:
+            self._over_limit_since = now
         actions: list[Action] = []
-        pressure = self._pressure(service, batch)
-        while pressure > self._weights.limit:
-            free = [task for task in batch if not task.throttled]
-            if not free:
+        latency = self._expected_latency(service, batch)
+        while latency > self._weights.limit:
+            unthrottled = [task for task in batch if not task.throttled]
+            if not unthrottled:
                 break
-            chosen = max(free, key=lambda task: self._gain(service, task))
-            gain = self._gain(service, chosen) * (1.0 - THROTTLED)
-            if gain <= 0.0:
+            chosen = max(unthrottled, key=lambda task: self._reduction(service, task))
+            reduction = self._reduction(service, chosen) * (1.0 - THROTTLED)
+            if reduction <= 0.0:
                 break
-            pressure -= gain
+            latency -= reduction
             batch[batch.index(chosen)] = chosen._replace(throttled=True)
-            actions.append(Action(Measure.THROTTLE, chosen.key, pressure))
-        if not actions and now - max(self._pressed_since, self._acted) >= self._weights.patience_s:
-            actions = self._evict(service, batch, pressure)
+            actions.append(Action(Measure.THROTTLE, chosen.key, latency))
+        if (
+            not actions
+            and now - max(self._over_limit_since, self._last_action_at) >= self._weights.patience_s
+        ):
+            actions = self._evict(service, batch, latency)
         if actions:
-            self._acted = now
+            self._last_action_at = now
         return actions
 
     def _evict(
-        self, service: ServiceState, batch: Sequence[BatchState], pressure: float
+        self, service: ServiceState, batch: Sequence[BatchState], latency: float
     ) -> list[Action]:
-        chosen = max(batch, key=lambda task: self._worth(service, task))
-        gain = self._gain(service, chosen)
-        return [Action(Measure.EVICT, chosen.key, pressure - gain)] if gain > 0 else []
+        chosen = max(batch, key=lambda task: self._reduction_per_cost(service, task))
+        reduction = self._reduction(service, chosen)
+        return [Action(Measure.EVICT, chosen.key, latency - reduction)] if reduction > 0 else []
 
-    def _gain(self, service: ServiceState, task: BatchState) -> float:
-        """Return by how much the latency over target falls without the task."""
-        load = min(1.0, service.load + RISE)
+    def _reduction(self, service: ServiceState, task: BatchState) -> float:
+        """Return the reduction of latency over target that removing the task would bring."""
+        load = min(1.0, service.load + LOAD_RISE)
         effect = self._model.effect(service.kind, load, task.kind)
         speed = THROTTLED if task.throttled else 1.0
         return effect.mean * self._model.surge(service.kind) * speed
 
-    def _worth(self, service: ServiceState, task: BatchState) -> float:
+    def _reduction_per_cost(self, service: ServiceState, task: BatchState) -> float:
         cost = self._weights.eviction_cost + task.at_risk_s
-        return self._gain(service, task) / cost
+        return self._reduction(service, task) / cost
 
     def _release(
         self, services: Sequence[ServiceState], batch: Sequence[BatchState], now: float
     ) -> list[Action]:
-        held = [task for task in batch if task.throttled]
-        if not held or now - self._acted < SETTLE_S:
+        throttled = [task for task in batch if task.throttled]
+        if not throttled or now - self._last_action_at < MIN_RELEASE_DELAY_S:
             return []
-        for task in held:
-            freed = [t._replace(throttled=False) if t is task else t for t in batch]
-            worst = max(self._pressure(service, freed) for service in services)
+        for task in throttled:
+            after_release = [t._replace(throttled=False) if t is task else t for t in batch]
+            worst = max(self._expected_latency(service, after_release) for service in services)
             if worst < self._weights.limit - RELEASE_MARGIN:
-                self._acted = now
+                self._last_action_at = now
                 return [Action(Measure.RELEASE, task.key, worst)]
         return []
 
 
-def kinds_beside(batch: Sequence[BatchState]) -> Mapping[str, float]:
-    """Return the number of tasks by kind; throttled ones count less."""
+def count_by_kind(batch: Sequence[BatchState]) -> Mapping[str, float]:
+    """Return the number of tasks by kind; a throttled task counts as ``THROTTLED``."""
     kinds: dict[str, float] = {}
     for task in batch:
         kinds[task.kind] = kinds.get(task.kind, 0.0) + (THROTTLED if task.throttled else 1.0)
--- a/src/linkspan/placement/interference.py
+++ b/src/linkspan/placement/interference.py
@@ -1,4 +1,4 @@
-"""Learns how much each kind of batch work slows each kind of service."""
+"""Model of the interference between kinds of batch tasks and services, learned online."""
 
 from __future__ import annotations
 
@@ -10,36 +10,38 @@
     from collections.abc import Mapping
 
 KNOTS = 4
-"""Loads, evenly from 0 to 1, at which effects are learnt; between them it is a line."""
+"""Number of loads, evenly spaced from 0 to 1, at which effects are learned.
+
+Between them effects are interpolated linearly."""
 
 PRIOR_EFFECT = 0.02
-"""What one task of an unknown kind is taken to add to latency over target."""
+"""Assumed effect of one task of an unknown kind on latency over target."""
 
 PRIOR_BASE = 0.5
-"""What an unknown service's latency over target is taken to be when alone."""
+"""Assumed latency over target of an unknown service without colocated tasks."""
 
-MIN_RATE = 0.05
-"""Weight that a new measurement keeps for ever, so that drift is followed."""
+MIN_LEARNING_RATE = 0.05
+"""Minimum weight of a new measurement, so that estimates follow drift."""
 
 SURGE_RATE = 0.04
-"""Weight of a new measurement in a service's surge."""
+"""Weight of a new measurement in a service's surge factor."""
 
 MAX_SURGE = 2.0
-"""Most that a surge is taken to multiply effects by; the least is its inverse."""
+"""Limit on the surge factor; its inverse is the lower limit."""
 
 MAX_KINDS = 256
-"""Kinds remembered for a service and knot; the longest unseen goes first."""
+"""Limit on the kinds kept per service and knot; the kind that was added first is dropped."""
 
 
 class KnotWeight(NamedTuple):
-    """A knot and how much it counts at some load."""
+    """A knot and its interpolation weight at some load."""
 
     knot: int
     weight: float
 
 
 def knot_weights(load: float) -> tuple[KnotWeight, ...]:
-    """Return the knots around a load, with weights that add up to 1.
+    """Return the knots next to a load, with interpolation weights that add up to 1.
 
     Example:
         >>> knot_weights(1.0)
@@ -57,21 +59,21 @@
 
 @dataclass(slots=True)
 class Effect:
-    """A learnt figure: its estimate and how much it was seen."""
+    """A learned value and the weight of its samples."""
 
     mean: float
-    seen: float = 0.0
+    samples: float = 0.0
 
-    def move(self, change: float, weight: float) -> None:
-        """Move towards a measurement that was off by ``change``."""
-        rate = max(MIN_RATE, 1.0 / (1.0 + self.seen))
+    def update(self, change: float, weight: float) -> None:
+        """Correct the mean by ``change``, the error of a measurement, times the learning rate."""
+        rate = max(MIN_LEARNING_RATE, 1.0 / (1.0 + self.samples))
         self.mean = max(0.0, self.mean + rate * change)
-        self.seen += weight
+        self.samples += weight
 
 
 @dataclass(slots=True)
 class _Knot:
-    """What was learnt of one service near one load."""
+    """Learned values of one service at one knot."""
 
     base: Effect = field(default_factory=lambda: Effect(PRIOR_BASE))
     effects: dict[str, Effect] = field(default_factory=dict)
@@ -79,136 +81,140 @@
 
 @dataclass(slots=True)
 class _Service:
-    """What was learnt of one service."""
+    """Learned values of one service."""
 
     knots: list[_Knot] = field(default_factory=lambda: [_Knot() for _ in range(KNOTS)])
     surge: float = 1.0
 
 
 class InterferenceModel:
-    """Latency over target as a base plus a part for each task beside it.
-
-    Base and parts are learnt for each service at a few loads, with straight
-    lines between, by normalised least mean squares (Widrow and Hoff, 1960).
-    The step shrinks as a figure is seen more but never below ``MIN_RATE``. A
-    pair not seen near a load takes the nearest load's figure, and one never
-    seen at all a small prior, so that unknown pairs are tried where there is
-    room. What moves all workers of a service at once, such as a noisy spell,
-    is followed quickly by one factor on all its effects, the surge, and so
-    does not spoil the slowly learnt ones.
+    """Predicts latency over target as a base plus an effect for each colocated task.
+
+    Base and effects are learned per service at a few loads, with linear interpolation,
+    by normalised least mean squares (Widrow and Hoff, 1960). The learning rate falls
+    with the number of samples, down to ``MIN_LEARNING_RATE``. A pair of service and kind
+    without samples near a load takes the effect at the nearest load with samples. A pair
+    without any samples takes a small prior, so that it is tried where there is capacity.
+
+    A change that affects all tasks of a service at once, such as a noisy period, is
+    tracked by one fast factor on all effects of the service, the surge factor. It
+    keeps such changes out of the effects, which are learned slowly.
     """
 
     def __init__(self) -> None:
         self._services: defaultdict[str, _Service] = defaultdict(_Service)
-        self._effects: dict[tuple[str, float, str], Effect] = {}
-        self._bases: dict[tuple[str, float], float] = {}
+        self._cached_effects: dict[tuple[str, float, str], Effect] = {}
+        self._cached_bases: dict[tuple[str, float], float] = {}
 
     def __repr__(self) -> str:
         return f"InterferenceModel(services={len(self._services)})"
 
     def surge(self, service: str) -> float:
-        """Return by what the service's effects are multiplied at present."""
+        """Return the current surge factor of the service's effects."""
         return self._services[service].surge
 
     def effect(self, service: str, load: float, kind: str) -> Effect:
-        """Return what one task of a kind is believed to add, surge left out."""
+        """Return the estimated effect of one task of a kind, without the surge factor."""
         knots = self._services[service].knots
-        parts = [(w, self._near(knots, knot, kind)) for knot, w in knot_weights(load)]
+        parts = [(w, self._nearest_effect(knots, knot, kind)) for knot, w in knot_weights(load)]
         return Effect(
-            sum(w * effect.mean for w, effect in parts), sum(w * e.seen for w, e in parts)
+            sum(w * effect.mean for w, effect in parts), sum(w * e.samples for w, e in parts)
         )
 
-    def _near(self, knots: list[_Knot], at: int, kind: str) -> Effect:
+    def _nearest_effect(self, knots: list[_Knot], at: int, kind: str) -> Effect:
         for distance in range(KNOTS):
             for knot in (at + distance, at - distance):
                 if 0 <= knot < KNOTS and kind in knots[knot].effects:
                     known = knots[knot].effects[kind]
-                    return known if not distance else Effect(known.mean, known.seen / 4)
+                    return known if not distance else Effect(known.mean, known.samples / 4)
         return Effect(PRIOR_EFFECT)
 
     def base(self, service: str, load: float) -> float:
-        """Return the believed latency over target with nothing beside it."""
+        """Return the estimated latency over target without colocated tasks."""
         knots = self._services[service].knots
-        return sum(w * self._near_base(knots, knot) for knot, w in knot_weights(load))
+        return sum(w * self._nearest_base(knots, knot) for knot, w in knot_weights(load))
 
-    def _near_base(self, knots: list[_Knot], at: int) -> float:
+    def _nearest_base(self, knots: list[_Knot], at: int) -> float:
         for distance in range(KNOTS):
             for knot in (at - distance, at + distance):
-                if 0 <= knot < KNOTS and knots[knot].base.seen:
+                if 0 <= knot < KNOTS and knots[knot].base.samples:
                     return knots[knot].base.mean
         return PRIOR_BASE
 
     def added(self, service: str, load: float, kinds: Mapping[str, float]) -> float:
-        """Return what the tasks beside it are believed to add, surge left out."""
-        return sum(n * self.kept_effect(service, load, kind).mean for kind, n in kinds.items())
+        """Return the estimated sum of the colocated tasks' effects, without the surge factor."""
+        return sum(n * self.cached_effect(service, load, kind).mean for kind, n in kinds.items())
 
-    def kept_effect(self, service: str, load: float, kind: str) -> Effect:
-        """Return an effect, kept until something is learnt: a pass asks for it often."""
+    def cached_effect(self, service: str, load: float, kind: str) -> Effect:
+        """Return an effect from a cache that lasts until the next measurement.
+
+        A placement pass asks for the same effects many times.
+        """
         key = (service, load, kind)
-        kept = self._effects.get(key)
-        if kept is None:
-            kept = self._effects[key] = self.effect(service, load, kind)
-        return kept
+        cached = self._cached_effects.get(key)
+        if cached is None:
+            cached = self._cached_effects[key] = self.effect(service, load, kind)
+        return cached
 
-    def _known_base(self, service: str, load: float) -> float:
+    def _cached_base(self, service: str, load: float) -> float:
         key = (service, load)
-        base = self._bases.get(key)
+        base = self._cached_bases.get(key)
         if base is None:
-            base = self._bases[key] = self.base(service, load)
+            base = self._cached_bases[key] = self.base(service, load)
         return base
 
     def predict(self, service: str, load: float, kinds: Mapping[str, float]) -> float:
-        """Return the latency over target to expect beside these tasks.
+        """Predict the latency over target of a service with these colocated tasks.
 
         Args:
             service: Kind of service.
-            load: Its load, from 0 to 1.
-            kinds: Number of tasks beside it by kind; throttled ones count less.
+            load: Load of the service, from 0 to 1.
+            kinds: Number of colocated tasks by kind; throttled ones count less than 1.
         """
         added = self.added(service, load, kinds)
-        return self._known_base(service, load) + added * self.surge(service)
+        return self._cached_base(service, load) + added * self.surge(service)
 
     def learn(self, service: str, load: float, kinds: Mapping[str, float], latency: float) -> None:
-        """Take in a measurement.
+        """Learn from a measurement.
 
         Args:
             service: Kind of service.
-            load: Its load when it was measured, from 0 to 1.
-            kinds: What ran beside it when it was measured.
+            load: Load of the service at the time of the measurement, from 0 to 1.
+            kinds: Number of colocated tasks by kind at that time.
             latency: Measured latency over target.
         """
-        self._follow_surge(service, load, kinds, latency)
+        self._update_surge(service, load, kinds, latency)
         error = latency - self.predict(service, load, kinds)
         weights = knot_weights(load)
         norm = 1.0 + sum(n * n for n in kinds.values())
         for at, part in weights:
             knot = self._services[service].knots[at]
             for kind, count in kinds.items():
-                self._known(service, at, kind).move(
+                self._effect_at(service, at, kind).update(
                     part * error * count / norm, part * count * count / norm
                 )
-            if not knot.base.seen:
-                knot.base.mean = self._near_base(self._services[service].knots, at)
-            knot.base.move(part * error / norm, part / norm)
+            if not knot.base.samples:
+                knot.base.mean = self._nearest_base(self._services[service].knots, at)
+            knot.base.update(part * error / norm, part / norm)
             while len(knot.effects) > MAX_KINDS:
                 del knot.effects[next(iter(knot.effects))]
-        self._effects.clear()
-        self._bases.clear()
+        self._cached_effects.clear()
+        self._cached_bases.clear()
 
-    def _known(self, service: str, at: int, kind: str) -> Effect:
+    def _effect_at(self, service: str, at: int, kind: str) -> Effect:
         knots = self._services[service].knots
         if kind not in knots[at].effects:
-            near = self._near(knots, at, kind)
-            knots[at].effects[kind] = Effect(near.mean, min(near.seen, 2.0))
+            nearest = self._nearest_effect(knots, at, kind)
+            knots[at].effects[kind] = Effect(nearest.mean, min(nearest.samples, 2.0))
         return knots[at].effects[kind]
 
-    def _follow_surge(
+    def _update_surge(
         self, service: str, load: float, kinds: Mapping[str, float], latency: float
     ) -> None:
         added = self.added(service, load, kinds)
         if added < 2 * PRIOR_EFFECT:
             return
         known = self._services[service]
-        seen = (latency - self.base(service, load)) / added
-        seen = min(MAX_SURGE, max(1.0 / MAX_SURGE, seen))
-        known.surge += SURGE_RATE * (seen - known.surge)
+        measured = (latency - self.base(service, load)) / added
+        measured = min(MAX_SURGE, max(1.0 / MAX_SURGE, measured))
+        known.surge += SURGE_RATE * (measured - known.surge)
--- a/src/linkspan/placement/learned.py
+++ b/src/linkspan/placement/learned.py
@@ -1,4 +1,4 @@
-"""The placer that learns: interference, sizes, bad workers, room for urgent work."""
+"""A placer that learns interference, sizes and failing workers, and preempts for urgent tasks."""
 
 from __future__ import annotations
 
@@ -34,40 +34,40 @@
     from linkspan.services.messages import AttemptKey, UsageSample, WorkerReport
 
 MAX_PREEMPTIONS = 4
-"""Urgent tasks for which room is made in one pass."""
+"""Limit on the urgent jobs for which tasks are preempted in one pass."""
 
-PREEMPTION_PAUSE_S = 5.0
-"""Time for which a job is not given room again, while its victims stop."""
+MIN_PREEMPTION_INTERVAL_S = 5.0
+"""Minimum time between preemptions for the same job, in which the preempted tasks stop."""
 
 
 class LearnedCost:
-    """Ranks workers by the latency that their services should have with the task.
+    """Ranks workers by the predicted latency of their services with the task.
 
     Args:
-        colocation: What is learnt; its workers go by their ledger numbers.
+        colocation: The learned model, with ledger numbers as names of workers.
     """
 
     def __init__(self, colocation: Colocation) -> None:
         self._colocation = colocation
-        self._plain = BestFit()
+        self._fit_cost = BestFit()
 
     def cost(self, spec: JobSpec, size: Resources, candidate: Candidate) -> float | None:
-        """Return the predicted latency over target, then the room that is left."""
-        fit = self._plain.cost(spec, size, candidate)
+        """Return the predicted latency over target plus a small weight for free capacity."""
+        fit = self._fit_cost.cost(spec, size, candidate)
         if spec.priority in (Priority.SERVICE, Priority.WATCHER):
             return fit
         predicted = self._colocation.predicted_with(
-            str(candidate.number), spec.kind, company=candidate.kinds
+            str(candidate.number), spec.kind, counts=candidate.kinds
         )
         return None if predicted is None else predicted + 0.05 * fit
 
 
 class LearnedPlacer(PolicyPlacer):
-    """Places, throttles and evicts by what reports teach.
+    """Places, throttles and evicts tasks by models that it learns from worker reports.
 
     Args:
-        weights: The customer's weights of tails against batch work.
-        rules: What published configuration says.
+        weights: The customer's trade-off between tail latency and batch throughput.
+        rules: Placement rules from the published configuration.
     """
 
     def __init__(
@@ -79,38 +79,38 @@
         self.quarantine = Quarantine()
         self._throttled: dict[int, set[TaskId]] = {}
         self._recalls: dict[AttemptId, str] = {}
-        self._preempted: dict[int, float] = {}
+        self._preempted_at: dict[int, float] = {}
 
     def __repr__(self) -> str:
         return f"LearnedPlacer({self.colocation!r}, {self.quarantine!r})"
 
-    # What reports and the ledger tell.
+    # Learning from reports and the ledger.
 
     def observe(self, report: WorkerReport, ledger: Ledger, now: float) -> None:
-        """Learn from a report, and decide what to do on its worker.
+        """Learn from a report, and apply the guard's actions on its worker.
 
         Args:
             report: The worker's report.
-            ledger: The fold, for what the attempts are.
-            now: Our time in seconds when we began to ask.
+            ledger: The hall's ledger, which identifies the attempts.
+            now: Local time in seconds when the exchange started.
         """
         number = ledger.worker_numbers.get(report.spec.name)
         if number is None:
             return
-        self._note_company(report, ledger, number, now)
+        self._record_tasks(report, ledger, number, now)
         for usage in report.usage:
-            task = _task_of(usage.run, ledger)
+            task = _placed_task_of(usage.run, ledger)
             if task is not None:
                 measured = now - (report.clock - usage.measured)
-                self._learn(usage, ledger.jobs[task.job], number, task, measured)
+                self._learn_usage(usage, ledger.jobs[task.job], number, task, measured)
         for action in self.colocation.decide(str(number), now):
-            self._carry_out(action, ledger, number)
+            self._apply_action(action, ledger, number)
 
-    def _note_company(self, report: WorkerReport, ledger: Ledger, number: int, now: float) -> None:
+    def _record_tasks(self, report: WorkerReport, ledger: Ledger, number: int, now: float) -> None:
         throttled = self._throttled.setdefault(number, set())
         services: dict[object, str] = {}
         batch: list[BatchState] = []
-        running = {task for run in report.running if (task := _task_of(run, ledger))}
+        running = {task for run in report.running if (task := _placed_task_of(run, ledger))}
         for task in sorted(running):
             spec = ledger.jobs[task.job].spec
             if spec.priority is Priority.SERVICE:
@@ -120,7 +120,7 @@
         throttled &= running
         self.colocation.note_company(str(number), now, services, batch)
 
-    def _learn(
+    def _learn_usage(
         self, usage: UsageSample, entry: JobEntry, number: int, task: TaskId, measured: float
     ) -> None:
         spec = entry.spec
@@ -129,7 +129,7 @@
             load = usage.used.milli_cpu / max(entry.size.milli_cpu, 1)
             self.colocation.note_measured(str(number), task, load, usage.latency, measured)
 
-    def _carry_out(self, action: Action, ledger: Ledger, number: int) -> None:
+    def _apply_action(self, action: Action, ledger: Ledger, number: int) -> None:
         task = action.key
         if not isinstance(task, TaskId):
             return
@@ -138,26 +138,26 @@
         elif action.measure is Measure.RELEASE:
             self._throttled[number].discard(task)
         elif task in ledger.placements:
-            reason = f"latency over target falls to {action.predicted:.2f} without it"
+            reason = f"predicted latency over target after eviction: {action.predicted:.2f}"
             self._recalls[ledger.attempt_of(task)] = reason
 
     def note_end(self, kind: str, worker: str, *, failed: bool, ledger: Ledger, now: float) -> None:
-        """Learn from an attempt's end in the ledger which workers fail what they get."""
+        """Update the quarantine of failing workers from the end of an attempt."""
         self.quarantine.note(End(kind, worker, failed), now, len(ledger.workers))
 
-    # What is to be done.
+    # Decisions.
 
     def throttles(self, number: int) -> Collection[tuple[TaskId, float]]:
-        """Return the tasks to hold back on a worker, with their part of full speed."""
+        """Return the tasks to throttle on a worker, with their part of full speed."""
         return [(task, THROTTLED) for task in sorted(self._throttled.get(number, ()))]
 
     def take_recalls(self) -> dict[AttemptId, str]:
-        """Return the attempts that should leave their workers, with reasons, once."""
+        """Return and clear the attempts to recall from their workers, with reasons."""
         recalls, self._recalls = self._recalls, {}
         return recalls
 
     def resizes(self, ledger: Ledger) -> Iterator[Resized]:
-        """Yield the sizes that jobs should reserve from now on."""
+        """Yield larger sizes for jobs whose measured use exceeds what they reserve."""
         for entry in ledger.jobs.values():
             if entry.next_queued() < 0:
                 continue
@@ -166,45 +166,45 @@
                 yield Resized(entry.number, needed)
 
     def place(
-        self, ledger: Ledger, fit: Collection[int], on_the_way: Iterable[Placed], now: float
+        self, ledger: Ledger, fit: Collection[int], pending: Iterable[Placed], now: float
     ) -> Iterator[tuple[TaskId, int]]:
-        """Yield placements on workers out of quarantine, and make room for urgent work."""
-        held = {ledger.worker_numbers[name] for name in self.quarantine.held(now)}
-        allowed = [number for number in fit if number not in held]
-        yield from super().place(ledger, allowed, on_the_way, now)
-        self._make_room(ledger, allowed, now)
+        """Yield placements on workers outside quarantine, and preempt tasks for urgent jobs."""
+        quarantined = {ledger.worker_numbers[name] for name in self.quarantine.held(now)}
+        allowed = [number for number in fit if number not in quarantined]
+        yield from super().place(ledger, allowed, pending, now)
+        self._preempt_for_urgent(ledger, allowed, now)
 
-    def _make_room(self, ledger: Ledger, allowed: Collection[int], now: float) -> None:
+    def _preempt_for_urgent(self, ledger: Ledger, allowed: Collection[int], now: float) -> None:
         waiting = [
             ledger.jobs[number]
             for number, obstacle in self.last.obstacles.items()
             if obstacle in (Obstacle.NO_ROOM, Obstacle.COMPANY)
             and ledger.jobs[number].spec.priority is Priority.URGENT
-            and now - self._preempted.get(number, float("-inf")) >= PREEMPTION_PAUSE_S
+            and now - self._preempted_at.get(number, float("-inf")) >= MIN_PREEMPTION_INTERVAL_S
         ]
         for entry in waiting[:MAX_PREEMPTIONS]:
-            chosen = self._cheapest(entry, ledger, allowed)
+            chosen = self._cheapest_preemption(entry, ledger, allowed)
             if chosen is None:
                 continue
-            self._preempted[entry.number] = now
+            self._preempted_at[entry.number] = now
             for victim in chosen.victims:
                 if isinstance(victim.key, TaskId):
                     reason = f"makes room for urgent {entry.spec.job_id}"
                     self._recalls[ledger.attempt_of(victim.key)] = reason
-        self._preempted = {n: at for n, at in self._preempted.items() if n in ledger.jobs}
+        self._preempted_at = {n: at for n, at in self._preempted_at.items() if n in ledger.jobs}
 
-    def _cheapest(
+    def _cheapest_preemption(
         self, entry: JobEntry, ledger: Ledger, allowed: Collection[int]
     ) -> Preemption | None:
         sites = [
-            Site(number, ledger.workers[number].room, _victims(ledger, number))
+            Site(number, ledger.workers[number].room, _preemptible_tasks(ledger, number))
             for number in allowed
             if self.may_run(entry, ledger.workers[number].spec)
         ]
         return cheapest_preemption(entry.size, sites)
 
 
-def _victims(ledger: Ledger, number: int) -> list[Victim]:
+def _preemptible_tasks(ledger: Ledger, number: int) -> list[Victim]:
     return [
         Victim(task, ledger.placements[task].size, 0.0)
         for task in sorted(ledger.workers[number].tasks)
@@ -214,10 +214,10 @@
     ]
 
 
-def _task_of(run: AttemptKey, ledger: Ledger) -> TaskId | None:
-    """Return the task of an attempt that the ledger has placed now."""
+def _placed_task_of(run: AttemptKey, ledger: Ledger) -> TaskId | None:
+    """Return the task of an attempt that is placed in the ledger, else None."""
     attempt = attempt_of_run(ledger.hall, run)
     if attempt is None or attempt.task not in ledger.placements:
         return None
-    placed = ledger.jobs[attempt.job].states[attempt.index] == TaskState.PLACED
-    return attempt.task if placed else None
+    is_placed = ledger.jobs[attempt.job].states[attempt.index] == TaskState.PLACED
+    return attempt.task if is_placed else None
--- a/src/linkspan/placement/placer.py
+++ b/src/linkspan/placement/placer.py
@@ -1,4 +1,4 @@
-"""One placement pass: feasible pairs of task and worker, best first."""
+"""Placement passes: assign queued tasks to feasible workers in order of cost."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     from linkspan.services.messages import WorkerReport
 
 MAX_PLACEMENTS = 500
-"""Most placements of one pass, which bounds its time."""
+"""Limit on the placements of one pass, which bounds its duration."""
 
 
 class Obstacle(Enum):
-    """Why a queued task was not placed."""
+    """Reason for which a queued task was not placed."""
 
     SELECTOR = "no worker matches the selector"
     TOO_LARGE = "no worker is large enough"
@@ -42,30 +42,30 @@
 
 
 class PlacementRules(NamedTuple):
-    """What published configuration says of placement.
+    """Placement rules from the published configuration.
 
     Attributes:
-        quotas: The most that a team may use at once.
-        company: Pairs of selectors on labels of work that must not share a
-            worker; each pair holds in both directions.
-        worker_labels: Published labels by worker, over the worker's own.
+        quotas: Limits on the resources that a team may reserve at once.
+        anti_affinity: Pairs of selectors on job labels whose jobs must not share a
+            worker; each pair applies in both directions.
+        worker_labels: Published labels by worker, which override the worker's own.
     """
 
     quotas: Mapping[str, Resources]
-    company: tuple[tuple[Selector, Selector], ...] = ()
+    anti_affinity: tuple[tuple[Selector, Selector], ...] = ()
     worker_labels: Mapping[str, Mapping[str, str]] = MappingProxyType({})
 
     def labels_of(self, worker: WorkerSpec) -> dict[str, str]:
-        """Return a worker's labels: its own, the published, its name and rack."""
+        """Return a worker's own and published labels, with its name and rack."""
         published = self.worker_labels.get(worker.name, {})
         return {**worker.labels, **published, "worker": worker.name, "rack": worker.rack}
 
 
 def rules_of(document: Document) -> PlacementRules:
-    """Return what a valid configuration says of placement."""
+    """Return the placement rules of a valid configuration."""
     quotas: dict[str, Resources] = {}
     labels: dict[str, Mapping[str, str]] = {}
-    company: list[tuple[Selector, Selector]] = []
+    anti_affinity: list[tuple[Selector, Selector]] = []
     for key, value in document.items():
         section, _, name = key.partition("/")
         if section == "quotas":
@@ -74,18 +74,18 @@
             labels[name] = labels_of(key, value)
         elif section == "company":
             rule = anti_affinity_of(name, value)
-            company.append((parse_selector(rule.work), parse_selector(rule.never_with)))
-    return PlacementRules(quotas, tuple(company), labels)
+            anti_affinity.append((parse_selector(rule.work), parse_selector(rule.never_with)))
+    return PlacementRules(quotas, tuple(anti_affinity), labels)
 
 
 class PlacedLine(NamedTuple):
-    """A decision for the log line and for ``explain``.
+    """A placement, with the figures for the log and for ``explain``.
 
     Attributes:
         task: The task.
-        worker: The chosen worker's ledger number.
-        cost: The policy's cost of the choice.
-        candidates: How many workers could have taken it.
+        worker: Ledger number of the chosen worker.
+        cost: The policy's cost of the chosen worker.
+        candidates: Number of feasible workers.
     """
 
     task: TaskId
@@ -96,11 +96,11 @@
 
 @dataclass(slots=True)
 class PassResult:
-    """What one pass decided.
+    """Result of one placement pass.
 
     Attributes:
         placed: Placements in order.
-        obstacles: For each job with tasks left over, why, by job number.
+        obstacles: Reasons for which jobs have tasks left in the queue, by job number.
     """
 
     placed: list[PlacedLine] = field(default_factory=list)
@@ -108,39 +108,39 @@
 
 
 class Placer(Protocol):
-    """What the scheduler's core needs of placement."""
+    """Interface of placement towards the scheduler's core."""
 
     def place(
-        self, ledger: Ledger, fit: Collection[int], on_the_way: Iterable[Placed], now: float
+        self, ledger: Ledger, fit: Collection[int], pending: Iterable[Placed], now: float
     ) -> Iterator[tuple[TaskId, int]]:
-        """Yield tasks to place with their workers' numbers."""
+        """Yield tasks to place, with the ledger numbers of their workers."""
 
     def observe(self, report: WorkerReport, ledger: Ledger, now: float) -> None:
-        """Take in what a worker reported."""
+        """Handle a worker's report."""
 
     def note_end(self, kind: str, worker: str, *, failed: bool, ledger: Ledger, now: float) -> None:
-        """Take in how an attempt ended by itself."""
+        """Handle the end of an attempt that ended by itself."""
 
     def throttles(self, number: int) -> Collection[tuple[TaskId, float]]:
-        """Return the tasks to hold back on a worker, with their part of full speed."""
+        """Return the tasks to throttle on a worker, with their part of full speed."""
 
     def take_recalls(self) -> dict[AttemptId, str]:
-        """Return the attempts that should leave their workers, with reasons, once."""
+        """Return and clear the attempts to recall from their workers, with reasons."""
 
     @property
     def last(self) -> PassResult:
-        """What the latest pass decided."""
+        """Result of the latest pass."""
 
     def resizes(self, ledger: Ledger) -> Iterable[Resized]:
-        """Return the sizes that jobs should reserve from now on."""
+        """Return new sizes that jobs reserve from now on."""
 
 
 class PolicyPlacer:
-    """Places by a policy, within what labels, sizes and quotas allow.
+    """Places tasks by a policy, within labels, sizes, quotas and anti-affinity.
 
     Args:
         policy: Ranks the feasible workers.
-        rules: What published configuration says.
+        rules: Placement rules from the published configuration.
     """
 
     def __init__(
@@ -149,58 +149,58 @@
         self.policy: Policy = policy or FirstFit()
         self.rules = rules or PlacementRules({})
         self._last = PassResult()
-        self._untaken: PassResult | None = None
+        self._unreported: PassResult | None = None
 
     def __repr__(self) -> str:
         return f"PolicyPlacer({self.policy!r}, placed={len(self._last.placed)})"
 
     @property
     def last(self) -> PassResult:
-        """What the latest pass decided."""
+        """Result of the latest pass."""
         return self._last
 
     def observe(self, report: WorkerReport, ledger: Ledger, now: float) -> None:
-        """Leave the report unused; a placer that learns overrides this."""
+        """Ignore the report; placers that learn override this."""
 
     def note_end(self, kind: str, worker: str, *, failed: bool, ledger: Ledger, now: float) -> None:
-        """Leave the end unused; a placer that learns overrides this."""
+        """Ignore the end; placers that learn override this."""
 
     def throttles(self, number: int) -> Collection[tuple[TaskId, float]]:
-        """Return no throttles; a placer that guards overrides this."""
+        """Return no throttles; placers with a guard override this."""
         return ()
 
     def take_recalls(self) -> dict[AttemptId, str]:
-        """Return no recalls; a placer that guards overrides this."""
+        """Return no recalls; placers with a guard override this."""
         return {}
 
     def resizes(self, ledger: Ledger) -> Iterable[Resized]:
-        """Return no new sizes; a placer that learns overrides this."""
+        """Return no new sizes; placers that learn override this."""
         return ()
 
     def may_run(self, entry: JobEntry, worker: WorkerSpec) -> bool:
-        """Return whether the job's selector and size allow the worker at all."""
+        """Return whether the job's selector and size allow the worker, regardless of its load."""
         selector = parse_selector(entry.spec.selector)
         return selector.matches(self.rules.labels_of(worker)) and entry.size.fits_within(
             worker.size
         )
 
     def take_result(self) -> PassResult | None:
-        """Return the latest pass's result once, for the log."""
-        result, self._untaken = self._untaken, None
+        """Return the latest pass's result, or None if it was returned before."""
+        result, self._unreported = self._unreported, None
         return result
 
     def place(
-        self, ledger: Ledger, fit: Collection[int], on_the_way: Iterable[Placed], now: float
+        self, ledger: Ledger, fit: Collection[int], pending: Iterable[Placed], now: float
     ) -> Iterator[tuple[TaskId, int]]:
-        """Yield tasks to place with their workers' numbers.
+        """Yield tasks to place, with the ledger numbers of their workers.
 
         Args:
-            ledger: The fold.
-            fit: Numbers of the workers that may get new work.
-            on_the_way: Placements that are decided but not in the fold yet.
+            ledger: The hall's ledger.
+            fit: Ledger numbers of the workers that may get new work.
+            pending: Placements that are decided but not in the ledger yet.
             now: Time in seconds.
         """
-        self._last = self._untaken = _Pass(ledger, fit, on_the_way, self.policy, self.rules).run()
+        self._last = self._unreported = _Pass(ledger, fit, pending, self.policy, self.rules).run()
         for line in self._last.placed:
             yield line.task, line.worker
 
@@ -212,19 +212,19 @@
         self,
         ledger: Ledger,
         fit: Collection[int],
-        on_the_way: Iterable[Placed],
+        pending: Iterable[Placed],
         policy: Policy,
         rules: PlacementRules,
     ) -> None:
         self._ledger = ledger
         self._policy = policy
         self._rules = rules
-        self._room = {number: ledger.workers[number].room for number in fit}
-        self._jobs: dict[int, Counter[int]] = {}
-        self._kinds: dict[int, Counter[str]] = {}
+        self._free = {number: ledger.workers[number].room for number in fit}
+        self._jobs_by_worker: dict[int, Counter[int]] = {}
+        self._kinds_by_worker: dict[int, Counter[str]] = {}
         self._usage = TeamUsage.of(ledger, rules.quotas)
-        self._taken: defaultdict[int, set[int]] = defaultdict(set)
-        for placed in on_the_way:
+        self._placed_indices: defaultdict[int, set[int]] = defaultdict(set)
+        for placed in pending:
             self._count(placed.attempt.task, placed.worker)
 
     def run(self) -> PassResult:
@@ -249,15 +249,15 @@
             task = TaskId(entry.number, index)
             result.placed.append(PlacedLine(task, worker, cost, len(heap) + 1))
             self._count(task, worker)
-            again = self._cost(entry, worker)
-            if again is not None:
-                heapq.heappush(heap, (again, worker))
+            next_cost = self._cost(entry, worker)
+            if next_cost is not None:
+                heapq.heappush(heap, (next_cost, worker))
             index = self._next_queued(entry, index + 1)
 
     def _next_queued(self, entry: JobEntry, start: int) -> int:
-        taken = self._taken[entry.number]
+        placed_indices = self._placed_indices[entry.number]
         index = entry.next_queued(start)
-        while index in taken:
+        while index in placed_indices:
             index = entry.next_queued(index + 1)
         return index
 
@@ -265,44 +265,48 @@
         entry = self._ledger.jobs.get(task.job)
         if entry is None:
             return
-        self._taken[task.job].add(task.index)
+        self._placed_indices[task.job].add(task.index)
         self._usage.add(entry)
-        if worker in self._room:
-            self._room[worker] -= entry.size
+        if worker in self._free:
+            self._free[worker] -= entry.size
             self._jobs_on(worker)[task.job] += 1
             self._kinds_on(worker)[entry.spec.kind] += 1
 
     def _jobs_on(self, worker: int) -> Counter[int]:
-        """Return the number of tasks by job on a worker, counted when first asked."""
-        if worker not in self._jobs:
+        """Return the number of tasks by job on a worker, counted on the first call."""
+        if worker not in self._jobs_by_worker:
             tasks = self._ledger.workers[worker].tasks
-            self._jobs[worker] = Counter(task.job for task in tasks)
-        return self._jobs[worker]
+            self._jobs_by_worker[worker] = Counter(task.job for task in tasks)
+        return self._jobs_by_worker[worker]
 
     def _kinds_on(self, worker: int) -> Counter[str]:
-        """Return the number of tasks by kind on a worker, counted when first asked."""
-        if worker not in self._kinds:
+        """Return the number of tasks by kind on a worker, counted on the first call."""
+        if worker not in self._kinds_by_worker:
             tasks = self._ledger.workers[worker].tasks
             jobs = self._ledger.jobs
-            self._kinds[worker] = Counter(jobs[task.job].spec.kind for task in tasks)
-        return self._kinds[worker]
+            self._kinds_by_worker[worker] = Counter(jobs[task.job].spec.kind for task in tasks)
+        return self._kinds_by_worker[worker]
 
     def _candidates(self, entry: JobEntry) -> tuple[list[tuple[float, int]], Obstacle | None]:
         selector = parse_selector(entry.spec.selector)
-        roomy = [w for w, room in self._room.items() if entry.size.fits_within(room)]
+        feasible = [worker for worker, room in self._free.items() if entry.size.fits_within(room)]
         if selector.terms:
-            roomy = [w for w in roomy if selector.matches(self._labels(w))]
-        if not roomy:
-            return [], self._why_no_room(entry, selector)
-        heap = [(cost, w) for w in roomy if (cost := self._cost(entry, w)) is not None]
+            feasible = [worker for worker in feasible if selector.matches(self._labels(worker))]
+        if not feasible:
+            return [], self._obstacle_without_capacity(entry, selector)
+        heap = [
+            (cost, worker) for worker in feasible if (cost := self._cost(entry, worker)) is not None
+        ]
         heapq.heapify(heap)
         return heap, None if heap else Obstacle.COMPANY
 
-    def _why_no_room(self, entry: JobEntry, selector: Selector) -> Obstacle:
-        matching = [w for w in self._room if selector.matches(self._labels(w))]
+    def _obstacle_without_capacity(self, entry: JobEntry, selector: Selector) -> Obstacle:
+        matching = [worker for worker in self._free if selector.matches(self._labels(worker))]
         if not matching:
             return Obstacle.SELECTOR
-        if not any(entry.size.fits_within(self._ledger.workers[w].spec.size) for w in matching):
+        if not any(
+            entry.size.fits_within(self._ledger.workers[worker].spec.size) for worker in matching
+        ):
             return Obstacle.TOO_LARGE
         return Obstacle.NO_ROOM
 
@@ -310,24 +314,24 @@
         return self._rules.labels_of(self._ledger.workers[worker].spec)
 
     def _cost(self, entry: JobEntry, worker: int) -> float | None:
-        if not entry.size.fits_within(self._room[worker]) or not self._may_share(entry, worker):
+        if not entry.size.fits_within(self._free[worker]) or not self._may_share(entry, worker):
             return None
         size = self._ledger.workers[worker].spec.size
-        candidate = Candidate(worker, self._room[worker], size, self._kinds_on(worker))
+        candidate = Candidate(worker, self._free[worker], size, self._kinds_on(worker))
         return self._policy.cost(entry.spec, entry.size, candidate)
 
     def _may_share(self, entry: JobEntry, worker: int) -> bool:
-        if not self._rules.company:
+        if not self._rules.anti_affinity:
             return True
         others = [
             self._ledger.jobs[job].spec.labels
             for job, count in self._jobs_on(worker).items()
             if count and job in self._ledger.jobs
         ]
-        return not any(self._clash(entry.spec.labels, labels) for labels in others)
+        return not any(self._conflicts(entry.spec.labels, labels) for labels in others)
 
-    def _clash(self, first: Mapping[str, str], second: Mapping[str, str]) -> bool:
+    def _conflicts(self, first: Mapping[str, str], second: Mapping[str, str]) -> bool:
         return any(
             (a.matches(first) and b.matches(second)) or (a.matches(second) and b.matches(first))
-            for a, b in self._rules.company
+            for a, b in self._rules.anti_affinity
         )
--- a/src/linkspan/placement/placers.py
+++ b/src/linkspan/placement/placers.py
@@ -1,4 +1,4 @@
-"""The registry of placers that configuration chooses from."""
+"""Registry of the placers that the configuration can select."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from linkspan.placement.policies import POLICIES
 
 DEFAULT_PLACER = "learned_throughput"
-"""Placer of customers whose configuration names none."""
+"""Placer of customers whose configuration does not name one."""
 
 PLACERS: Registry[PolicyPlacer] = Registry("placement")
-"""Placers by the name that configuration uses; policies have placers of their own."""
+"""Placers by their names in the configuration; each plain policy has a placer."""
 
 
 @PLACERS.register("learned_tail")
--- a/src/linkspan/placement/policies.py
+++ b/src/linkspan/placement/policies.py
@@ -1,4 +1,4 @@
-"""The registry of placement policies, and the plain ones."""
+"""Registry of placement policies, and the policies that do not learn."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Candidate(NamedTuple):
-    """A worker that has room for a task.
+    """A worker with enough free capacity for a task.
 
     Attributes:
         number: The worker's ledger number.
-        room: What is left on it before the task.
-        size: What it has in all.
-        kinds: Number of tasks on it by kind of work.
+        room: Free capacity without the task.
+        size: Total capacity.
+        kinds: Number of tasks on the worker, by kind.
     """
 
     number: int
@@ -30,19 +30,19 @@
 
 
 class Policy(Protocol):
-    """Ranks the workers that a task could go to."""
+    """Ranks the feasible workers for a task."""
 
     def cost(self, spec: JobSpec, size: Resources, candidate: Candidate) -> float | None:
-        """Return the candidate's cost, least is best, or None to leave it out."""
+        """Return the candidate's cost, lower is better, or None to exclude it."""
 
 
 POLICIES: Registry[Policy] = Registry("placement")
-"""Placement policies by the name that configuration uses."""
+"""Placement policies by their names in the configuration."""
 
 
 @POLICIES.register("first_fit")
 class FirstFit:
-    """The first worker, by number, that has room."""
+    """Prefers the feasible worker with the lowest number."""
 
     def cost(self, spec: JobSpec, size: Resources, candidate: Candidate) -> float:
         """Return the worker's number."""
@@ -51,11 +51,11 @@
 
 @POLICIES.register("best_fit")
 class BestFit:
-    """The worker that is left with the least room, by declared size."""
+    """Prefers the worker with the least free capacity after the placement, by declared size."""
 
     def cost(self, spec: JobSpec, size: Resources, candidate: Candidate) -> float:
-        """Return the share of the worker that stays free, its scarcest part first."""
-        left = candidate.room - size
-        return left.milli_cpu / max(candidate.size.milli_cpu, 1) + left.memory_mb / max(
+        """Return the sum of the free shares of CPU and memory after the placement."""
+        free = candidate.room - size
+        return free.milli_cpu / max(candidate.size.milli_cpu, 1) + free.memory_mb / max(
             candidate.size.memory_mb, 1
         )
--- a/src/linkspan/placement/preemption.py
+++ b/src/linkspan/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Makes room for urgent work at the least loss."""
+"""Selection of batch tasks to evict for an urgent task, at the lowest cost."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """A batch task that may be evicted.
 
     Attributes:
-        key: Names the task to the caller.
-        size: What it reserves.
+        key: The caller's identifier of the task.
+        size: Resources that the task reserves.
         at_risk_s: Work that its eviction would lose, in seconds.
     """
 
@@ -25,12 +25,12 @@
 
 
 class Site(NamedTuple):
-    """A worker where urgent work might go.
+    """A worker that may run the urgent task.
 
     Attributes:
         worker: The worker's ledger number.
-        room: What is free on it.
-        victims: Batch tasks on it.
+        room: Free capacity.
+        victims: Batch tasks on the worker that may be evicted.
     """
 
     worker: int
@@ -39,30 +39,30 @@
 
 
 class Preemption(NamedTuple):
-    """Whom to evict where, so that a task fits."""
+    """A worker, and the tasks to evict from it so that the urgent task fits."""
 
     worker: int
     victims: tuple[Victim, ...]
 
 
 EVICTION_COST_S = 30.0
-"""What each eviction counts as losing beside the work at risk, in seconds."""
+"""Fixed cost of an eviction in seconds of work, in addition to the work at risk."""
 
 
 def cheapest_preemption(size: Resources, sites: Iterable[Site]) -> Preemption | None:
-    """Return the evictions that make room for a task at the least cost.
+    """Return the cheapest evictions that free enough capacity for a task, or None.
 
-    Within a worker, victims are taken in order of cost for the room that they
-    free, and those that turn out not to be needed are spared again.
+    On each worker, victims are added in order of cost per freed CPU until the task fits.
+    Victims that turn out to be unnecessary are removed again.
 
     Args:
-        size: What the task needs.
-        sites: Workers that may run it.
+        size: Size of the task.
+        sites: Workers that may run the task.
     """
     best: Preemption | None = None
     best_cost = float("inf")
     for site in sites:
-        victims = _victims(size, site)
+        victims = _victims_on(size, site)
         if victims is None:
             continue
         cost = sum(_cost(victim) for victim in victims)
@@ -75,18 +75,18 @@
     return EVICTION_COST_S + victim.at_risk_s
 
 
-def _victims(size: Resources, site: Site) -> tuple[Victim, ...] | None:
+def _victims_on(size: Resources, site: Site) -> tuple[Victim, ...] | None:
     room = site.room
-    taken: list[Victim] = []
+    chosen: list[Victim] = []
     for victim in sorted(site.victims, key=lambda v: _cost(v) / max(v.size.milli_cpu, 1)):
         if size.fits_within(room):
             break
-        taken.append(victim)
+        chosen.append(victim)
         room += victim.size
     if not size.fits_within(room):
         return None
-    for victim in list(taken):
+    for victim in list(chosen):
         if size.fits_within(room - victim.size):
-            taken.remove(victim)
+            chosen.remove(victim)
             room -= victim.size
-    return tuple(taken)
+    return tuple(chosen)
--- a/src/linkspan/placement/quarantine.py
+++ b/src/linkspan/placement/quarantine.py
@@ -1,4 +1,4 @@
-"""Tells bad workers from bad jobs, and keeps new work off the bad ones."""
+"""Quarantine of workers on which tasks fail more often than on other workers."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-WINDOW = 32
-"""Ends remembered of each worker and each kind of work."""
+ENDS_PER_WORKER = 32
+"""Ends kept per worker; four times as many are kept per kind of work."""
 
-MAX_SHARE = 0.25
-"""Part of the workers that may be in quarantine at once."""
+MAX_QUARANTINED_SHARE = 0.25
+"""Limit on the share of workers in quarantine at once."""
 
 MIN_ENDS = 6
-"""Ends of at least two kinds that a worker is judged by."""
+"""Ends of attempts needed before a worker can be put into quarantine."""
 
-FIRST_PAUSE_S = 60.0
-"""First time in quarantine; it doubles with each relapse."""
+FIRST_QUARANTINE_S = 60.0
+"""Duration of a worker's first quarantine; it doubles with each further one."""
 
-MAX_PAUSE_S = 3_600.0
-"""Longest time in quarantine."""
+MAX_QUARANTINE_S = 3_600.0
+"""Limit on the duration of a quarantine."""
 
 
 class End(NamedTuple):
-    """How an attempt ended.
+    """The end of an attempt.
 
     Attributes:
         kind: Kind of work.
-        worker: Where it ran.
-        failed: Whether it failed.
+        worker: Name of the worker that ran the attempt.
+        failed: Whether the attempt failed.
     """
 
     kind: str
@@ -40,63 +40,65 @@
 
 
 @dataclass(slots=True)
-class _Record:
-    ends: deque[End] = field(default_factory=lambda: deque(maxlen=WINDOW))
+class _WorkerRecord:
+    ends: deque[End] = field(default_factory=lambda: deque(maxlen=ENDS_PER_WORKER))
     until: float = 0.0
-    pauses: int = 0
+    quarantines: int = 0
 
 
 class Quarantine:
-    """Judges workers by how the same kinds of work fare elsewhere.
+    """Compares failures on each worker with failures of the same kinds on other workers.
 
-    A failure counts against a worker only as far as its kind of work succeeds
-    on others, so a job that fails everywhere brings no worker under suspicion.
-    A worker that returns is on trial: its past ends are forgotten, and when it
-    fails again it stays away twice as long.
+    A failure counts against a worker only as far as its kind of work succeeds on other
+    workers, so that a job that fails everywhere does not lead to a quarantine. After a
+    quarantine the worker starts without a history; the next quarantine lasts twice as
+    long.
     """
 
     def __init__(self) -> None:
-        self._workers: defaultdict[str, _Record] = defaultdict(_Record)
-        self._kinds: defaultdict[str, deque[End]] = defaultdict(lambda: deque(maxlen=WINDOW * 4))
+        self._workers: defaultdict[str, _WorkerRecord] = defaultdict(_WorkerRecord)
+        self._kinds: defaultdict[str, deque[End]] = defaultdict(
+            lambda: deque(maxlen=ENDS_PER_WORKER * 4)
+        )
 
     def __repr__(self) -> str:
         return f"Quarantine(workers={len(self._workers)}, kinds={len(self._kinds)})"
 
     def note(self, end: End, now: float, workers: int) -> bool:
-        """Take in an attempt's end.
+        """Record the end of an attempt.
 
         Args:
             end: The end.
             now: Time in seconds.
-            workers: Number of workers in the hall, for the bound on the share.
+            workers: Number of workers in the hall, for the limit on the share.
 
         Returns:
-            Whether its worker goes into quarantine by it.
+            Whether the end puts the worker into quarantine.
         """
         record = self._workers[end.worker]
         record.ends.append(end)
         self._kinds[end.kind].append(end)
-        if not end.failed or record.until > now or not self._is_bad(end.worker):
+        if not end.failed or record.until > now or not self._fails_more_than_elsewhere(end.worker):
             return False
-        if len(self.held(now)) + 1 > max(1, int(MAX_SHARE * workers)):
+        if len(self.held(now)) + 1 > max(1, int(MAX_QUARANTINED_SHARE * workers)):
             return False
-        pause = min(FIRST_PAUSE_S * 2**record.pauses, MAX_PAUSE_S)
-        record.until = now + pause
-        record.pauses += 1
+        duration_s = min(FIRST_QUARANTINE_S * 2**record.quarantines, MAX_QUARANTINE_S)
+        record.until = now + duration_s
+        record.quarantines += 1
         record.ends.clear()
         return True
 
     def held(self, now: float) -> Collection[str]:
-        """Return the workers in quarantine at this time, in seconds."""
+        """Return the names of the workers in quarantine at ``now``, in seconds."""
         return {name for name, record in self._workers.items() if record.until > now}
 
     def fails_everywhere(self, kind: str) -> bool:
-        """Return whether a kind of work fails on every worker that ran it."""
+        """Return whether all kept ends of a kind are failures, on at least three workers."""
         ends = self._kinds[kind]
         workers = {end.worker for end in ends}
         return len(workers) >= 3 and all(end.failed for end in ends)
 
-    def _is_bad(self, worker: str) -> bool:
+    def _fails_more_than_elsewhere(self, worker: str) -> bool:
         ends = self._workers[worker].ends
         if len(ends) < MIN_ENDS:
             return False
@@ -105,6 +107,6 @@
         return failed >= 0.8 * len(ends) and failed > 2.0 * expected + 2.0
 
     def _failure_share(self, kind: str, worker: str) -> float:
-        """Return the share of a kind's failures on other workers, 1 if unknown."""
+        """Return the share of failures of a kind on other workers, 1 without any ends there."""
         elsewhere = [end.failed for end in self._kinds[kind] if end.worker != worker]
         return sum(elsewhere) / len(elsewhere) if elsewhere else 1.0
--- a/src/linkspan/placement/queueing.py
+++ b/src/linkspan/placement/queueing.py
@@ -1,4 +1,4 @@
-"""The order in which queued jobs are served."""
+"""Order in which queued jobs are placed, and quotas of teams."""
 
 from __future__ import annotations
 
@@ -15,16 +15,15 @@
     from linkspan.ledger.job_entry import JobEntry
     from linkspan.ledger.ledger import Ledger
 
-_BOUND = frozenset({Priority.URGENT, Priority.BATCH})
-"""Priorities that quotas hold for; services and watchers must run."""
+_PRIORITIES_WITH_QUOTA = frozenset({Priority.URGENT, Priority.BATCH})
+"""Priorities that quotas apply to; services and watchers are exempt because they must run."""
 
 
 class TeamUsage:
-    """What each team's placed tasks reserve.
+    """Resources that the placed tasks of each team reserve.
 
     Args:
-        quotas: The most that a team may use at once; teams not named have no
-            bound.
+        quotas: Limits by team; a team without an entry has no limit.
     """
 
     def __init__(self, quotas: Mapping[str, Resources]) -> None:
@@ -36,7 +35,7 @@
 
     @classmethod
     def of(cls, ledger: Ledger, quotas: Mapping[str, Resources]) -> TeamUsage:
-        """Return the usage of all teams as the ledger has it."""
+        """Return the usage of all teams according to the ledger."""
         usage = cls(quotas)
         for entry in ledger.jobs.values():
             counts = entry.states
@@ -46,12 +45,12 @@
         return usage
 
     def add(self, entry: JobEntry, count: int = 1) -> None:
-        """Count ``count`` more of the job's tasks."""
+        """Add ``count`` tasks of the job to its team's usage."""
         self._used[entry.spec.team] += entry.size.times(count)
 
     def allows(self, entry: JobEntry) -> bool:
         """Return whether one more task of the job is within its team's quota."""
-        if entry.spec.priority not in _BOUND:
+        if entry.spec.priority not in _PRIORITIES_WITH_QUOTA:
             return True
         quota = self._quotas.get(entry.spec.team)
         if quota is None:
@@ -59,7 +58,7 @@
         return (self._used[entry.spec.team] + entry.size).fits_within(quota)
 
     def share(self, team: str) -> float:
-        """Return the team's use as a part of its quota, or in cores without one."""
+        """Return the team's CPU usage as a share of its quota, or in cores without a quota."""
         used, quota = self._used[team], self._quotas.get(team)
         if quota is None:
             return used.milli_cpu / 1000
@@ -67,10 +66,10 @@
 
 
 def serving_order(ledger: Ledger, usage: TeamUsage) -> list[JobEntry]:
-    """Return the jobs with queued tasks, the one to be served first in front.
+    """Return the jobs with queued tasks in the order in which they are placed.
 
-    Priorities come first, then teams that use little of their quota, then the
-    order of submission.
+    Jobs are ordered by priority, then by their team's share of its quota, lowest first,
+    then by submission.
     """
-    waiting = [entry for entry in ledger.jobs.values() if entry.next_queued() >= 0]
-    return sorted(waiting, key=lambda e: (e.spec.priority, usage.share(e.spec.team), e.number))
+    queued_jobs = [entry for entry in ledger.jobs.values() if entry.next_queued() >= 0]
+    return sorted(queued_jobs, key=lambda e: (e.spec.priority, usage.share(e.spec.team), e.number))
--- a/src/linkspan/placement/sizes.py
+++ b/src/linkspan/placement/sizes.py
@@ -1,4 +1,4 @@
-"""Learns what each kind of work really uses, since declared sizes are far off."""
+"""Learns the resources that each kind of work uses, since declared sizes are inaccurate."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 from linkspan.model.resources import NO_RESOURCES, Resources
 
-KINDS_KEPT = 2_000
-"""Kinds remembered; the one unseen for longest goes first."""
+MAX_KINDS = 2_000
+"""Limit on the kinds kept; the least recently measured kind is dropped first."""
 
-FORGET = 0.999
-"""What is left of a learnt size for each smaller measurement."""
+PEAK_DECAY = 0.999
+"""Decay of the learned peak per measurement below it, as a factor."""
 
-HEADROOM = 1.0
-"""Room above the largest recent use, as a factor; a watermark needs none."""
+HEADROOM_FACTOR = 1.0
+"""Reserved resources as a factor of the learned peak; a peak needs no extra margin."""
 
 
 @dataclass(slots=True)
-class _Learnt:
+class _LearnedPeak:
     milli_cpu: float = 0.0
     memory_mb: float = 0.0
     accelerators: int = 0
-    seen: int = 0
+    samples: int = 0
 
 
 class SizeModel:
-    """High use of each kind of work, which slowly forgets its peaks.
+    """Decaying peak of the resource use of each kind of work.
 
     Example:
         >>> sizes = SizeModel()
@@ -36,30 +36,30 @@
     """
 
     def __init__(self) -> None:
-        self._kinds: OrderedDict[str, _Learnt] = OrderedDict()
+        self._kinds: OrderedDict[str, _LearnedPeak] = OrderedDict()
 
     def __repr__(self) -> str:
         return f"SizeModel(kinds={len(self._kinds)})"
 
     def learn(self, kind: str, used: Resources) -> None:
-        """Take in what one task of a kind used."""
-        learnt = self._kinds.setdefault(kind, _Learnt())
+        """Update the peak of a kind with the resources that one of its tasks used."""
+        peak = self._kinds.setdefault(kind, _LearnedPeak())
         self._kinds.move_to_end(kind)
-        learnt.milli_cpu = max(used.milli_cpu, learnt.milli_cpu * FORGET)
-        learnt.memory_mb = max(used.memory_mb, learnt.memory_mb * FORGET)
-        learnt.accelerators = max(used.accelerators, learnt.accelerators)
-        learnt.seen += 1
-        if len(self._kinds) > KINDS_KEPT:
+        peak.milli_cpu = max(used.milli_cpu, peak.milli_cpu * PEAK_DECAY)
+        peak.memory_mb = max(used.memory_mb, peak.memory_mb * PEAK_DECAY)
+        peak.accelerators = max(used.accelerators, peak.accelerators)
+        peak.samples += 1
+        if len(self._kinds) > MAX_KINDS:
             self._kinds.popitem(last=False)
 
     def needed(self, kind: str, declared: Resources) -> Resources:
-        """Return what a task of a kind is to reserve: never less than declared."""
-        learnt = self._kinds.get(kind)
-        if learnt is None:
+        """Return the resources that a task of a kind has to reserve, at least the declared ones."""
+        peak = self._kinds.get(kind)
+        if peak is None:
             return declared
         used = Resources(
-            round(learnt.milli_cpu * HEADROOM),
-            round(learnt.memory_mb * HEADROOM),
-            learnt.accelerators,
+            round(peak.milli_cpu * HEADROOM_FACTOR),
+            round(peak.memory_mb * HEADROOM_FACTOR),
+            peak.accelerators,
         )
-        return declared.elementwise_max(used if learnt.seen else NO_RESOURCES)
+        return declared.elementwise_max(used if peak.samples else NO_RESOURCES)
--- a/tests/placement/test_learning.py
+++ b/tests/placement/test_learning.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from linkspan.model.resources import Resources
-from linkspan.placement.colocation import TRIALS, Colocation
+from linkspan.placement.colocation import MAX_TRIALS, Colocation
 from linkspan.placement.company_history import CompanyHistory
 from linkspan.placement.guard import BatchState, Guard, GuardWeights, Measure, ServiceState
 from linkspan.placement.interference import PRIOR_EFFECT, InterferenceModel
 from linkspan.placement.preemption import Site, Victim, cheapest_preemption
-from linkspan.placement.quarantine import MAX_SHARE, End, Quarantine
+from linkspan.placement.quarantine import MAX_QUARANTINED_SHARE, End, Quarantine
 from linkspan.placement.sizes import SizeModel
 
 EFFECTS = {"merge": 0.2, "plan": 0.01, "index": 0.06}
@@ -42,7 +42,7 @@
 
 def test_unseen_pair_has_a_small_prior() -> None:
     effect = _taught().effect("finder", 0.5, "new")
-    assert (effect.mean, effect.seen) == (PRIOR_EFFECT, 0.0)
+    assert (effect.mean, effect.samples) == (PRIOR_EFFECT, 0.0)
 
 
 def test_surge_is_followed_quickly() -> None:
@@ -75,7 +75,7 @@
             admitted += 1
             batch = [BatchState(n, "new", 0.0, False)]
             colocation.note_company(f"w{n}", 0.0, {"s": "finder"}, batch)
-    assert admitted == TRIALS
+    assert admitted == MAX_TRIALS
 
 
 def test_guard_throttles_first_then_evicts_then_releases() -> None:
@@ -140,7 +140,7 @@
     for n in range(400):
         now += 0.5
         quarantine.note(End(f"k{n % 5}", f"w{n % 8}", n % 8 < 6), now, 8)
-        assert len(quarantine.held(now)) <= MAX_SHARE * 8
+        assert len(quarantine.held(now)) <= MAX_QUARANTINED_SHARE * 8
     assert quarantine.held(now + 10_000.0) == set()
 
 
