--- a/src/linkspan/peer/__init__.py
+++ b/src/linkspan/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol: framed Cap'n Proto messages between our own processes."""
+"""The peer protocol: framed Cap'n Proto messages between linkspan processes."""
--- a/src/linkspan/peer/codec.py
+++ b/src/linkspan/peer/codec.py
@@ -1,4 +1,4 @@
-"""Bytes of the inner protocol's messages."""
+"""Encoding of peer messages as packed Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 TRAVERSAL_LIMIT_WORDS = 1024 * 1024
-"""Words that a reader follows in one message, against crafted pointers."""
+"""Limit on the words read per message; protects against crafted pointers."""
 
 
 def _schema() -> Any:
@@ -30,12 +30,12 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the envelope's bytes."""
+    """Encode an envelope."""
     target = _schema().Envelope.new_message()
     target.request = envelope.request
     match envelope.message:
-        case Heartbeat() as beat:
-            _fill_heartbeat(target.init("heartbeat"), beat)
+        case Heartbeat() as heartbeat:
+            _write_heartbeat(target.init("heartbeat"), heartbeat)
         case Submit(spec):
             target.submit = job_to_json(spec)
         case Cancel(job_id):
@@ -56,30 +56,32 @@
 
 
 def decode(body: bytes) -> Envelope:
-    """Return the envelope of these bytes.
+    """Decode an envelope.
 
     Raises:
-        BadFrame: The bytes are no message.
+        BadFrame: The bytes are not a valid message.
     """
     try:
         message = _schema().Envelope.from_bytes_packed(
             body, traversal_limit_in_words=TRAVERSAL_LIMIT_WORDS
         )
         return _read(message)
-    except Exception as error:  # pycapnp, orjson and our own constructors alike
-        raise BadFrame(f"not a message: {error!r}; the connection is closed") from error
-
-
-def _fill_heartbeat(target: Any, beat: Heartbeat) -> None:
-    target.name, target.role, target.hall = beat.name, beat.role, beat.hall
-    target.address = beat.address
-    target.applied, target.config = beat.applied, beat.config
-    target.unfit = list(beat.unfit)
-    target.members = list(beat.members)
-    for slot, heard in zip(target.init("heard", len(beat.heard)), beat.heard, strict=True):
+    except Exception as error:  # pycapnp, orjson and the message constructors raise different types
+        raise BadFrame(f"not a valid message: {error!r}; the connection is closed") from error
+
+
+def _write_heartbeat(target: Any, heartbeat: Heartbeat) -> None:
+    target.name, target.role, target.hall = heartbeat.name, heartbeat.role, heartbeat.hall
+    target.address = heartbeat.address
+    target.applied, target.config = heartbeat.applied, heartbeat.config
+    target.unfit = list(heartbeat.unfit)
+    target.members = list(heartbeat.members)
+    for slot, heard in zip(
+        target.init("heard", len(heartbeat.heard)), heartbeat.heard, strict=True
+    ):
         slot.name, slot.division = heard
-    target.inFlight, target.draining = beat.in_flight, beat.draining
-    target.callers, target.serves = beat.callers, list(beat.serves)
+    target.inFlight, target.draining = heartbeat.in_flight, heartbeat.draining
+    target.callers, target.serves = heartbeat.callers, list(heartbeat.serves)
 
 
 def _read_heartbeat(body: Any) -> Heartbeat:
@@ -118,10 +120,10 @@
         case "config":
             state = decode_config(message.config)
             if not isinstance(state, ConfigState):
-                raise BadFrame("a change where a state belongs")
+                raise BadFrame("the config message contains a change in place of a state")
             return Envelope(request, ConfigAnswer(state))
         case "answer":
             answer = Answer(message.answer.status, bytes(message.answer.body))
             return Envelope(request, answer)
         case other:
-            raise BadFrame(f"unknown message {other!r}")
+            raise BadFrame(f"unknown message type {other!r}")
--- a/src/linkspan/peer/directory.py
+++ b/src/linkspan/peer/directory.py
@@ -1,4 +1,4 @@
-"""Who is there: peers by their heartbeats, pure of sockets and clocks."""
+"""Directory of peers and their liveness, from heartbeats; does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A peer's latest heartbeat and when it came, in seconds."""
+    """The latest heartbeat of a peer, and its time of arrival in seconds."""
 
     beat: Heartbeat
     heard: float
 
 
 class PeerDirectory:
-    """Latest heartbeat of each peer.
+    """Stores the latest heartbeat of each peer.
 
     Args:
-        silence_s: Silence after which a peer does not count as alive.
-        forget_s: Silence after which it is forgotten.
+        silence_s: Time without a heartbeat after which a peer does not count as live.
+        forget_s: Time without a heartbeat after which a peer is removed.
     """
 
     def __init__(self, *, silence_s: float = 3.0, forget_s: float = 600.0) -> None:
@@ -34,28 +34,29 @@
         return f"PeerDirectory({sorted(self._peers)})"
 
     def hear(self, beat: Heartbeat, now: float) -> None:
-        """Take in a heartbeat."""
+        """Record a heartbeat that arrived at ``now``, in seconds."""
         self._peers[beat.name] = Peer(beat, now)
 
     def drop(self, name: str) -> None:
-        """Forget a peer that is proven to be gone."""
+        """Remove a peer that has certainly stopped."""
         self._peers.pop(name, None)
 
     def all(self) -> list[Peer]:
-        """Return every peer that is remembered."""
+        """Return all peers of the directory, live or not."""
         return list(self._peers.values())
 
     def live(self, now: float, *, role: str = "", hall: str = "") -> list[Peer]:
-        """Return the peers that are alive, of one role and hall if given.
+        """Return the live peers, of one role and hall if given.
 
-        Those that are not draining come first, the latest heard in front.
+        Peers that are not draining come first, each group by time of the latest
+        heartbeat, newest first.
         """
-        self._forget(now)
+        self._remove_expired(now)
         known = self.known(role=role, hall=hall)
         return [peer for peer in known if now - peer.heard <= self._silence_s]
 
     def known(self, *, role: str = "", hall: str = "") -> list[Peer]:
-        """Return the peers that are remembered, alive or not, in the same order."""
+        """Return the peers of one role and hall, live or not, in the order of :meth:`live`."""
         found = [
             peer
             for peer in self._peers.values()
@@ -64,10 +65,10 @@
         return sorted(found, key=lambda peer: (peer.beat.draining, -peer.heard, peer.beat.name))
 
     def newest_config(self) -> Peer | None:
-        """Return the peer with the newest configuration version, if any."""
+        """Return the peer with the newest configuration version, or None without peers."""
         return max(self._peers.values(), key=lambda peer: peer.beat.config, default=None)
 
-    def _forget(self, now: float) -> None:
-        gone = [n for n, peer in self._peers.items() if now - peer.heard > self._forget_s]
-        for name in gone:
+    def _remove_expired(self, now: float) -> None:
+        expired = [n for n, peer in self._peers.items() if now - peer.heard > self._forget_s]
+        for name in expired:
             del self._peers[name]
--- a/src/linkspan/peer/framing.py
+++ b/src/linkspan/peer/framing.py
@@ -1,4 +1,4 @@
-"""Frames on a TCP stream: a version byte, a length, a message."""
+"""Message frames on a TCP stream: a version byte, a length and the message."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from asyncio import StreamReader, StreamWriter
 
 VERSION = 1
-"""Version of the inner protocol; peers of another one are cut off."""
+"""Version of the peer protocol; a connection with another version is closed."""
 
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-"""Largest message."""
+"""Limit on the size of a message."""
 
 _HEADER = struct.Struct(">BI")
 
 
 async def read_frame(reader: StreamReader, *, timeout_s: float = 30.0) -> bytes | None:
-    """Return the next message's bytes, or None at a clean end.
+    """Read the next message, or return None if the stream ends between frames.
 
     Args:
         reader: The stream.
-        timeout_s: Time that the rest of a frame may take once it has begun.
+        timeout_s: Time limit for the rest of a frame after its first byte.
 
     Raises:
-        BadFrame: Wrong version, oversized, cut short or too slow.
+        BadFrame: The frame has another version, is too large, truncated or too slow.
     """
     try:
         first = await reader.readexactly(1)
@@ -47,5 +47,5 @@
 
 
 def write_frame(writer: StreamWriter, body: bytes) -> None:
-    """Queue a message's bytes on the stream."""
+    """Write a message to the stream's buffer as a frame."""
     writer.write(_HEADER.pack(VERSION, len(body)) + body)
--- a/src/linkspan/peer/messages.py
+++ b/src/linkspan/peer/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the inner protocol."""
+"""Messages of the peer protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Heard(NamedTuple):
-    """A peer's division of the slots, as a digest of its members."""
+    """A peer's division of the executors' slots, as a digest of its member list."""
 
     name: str
     division: int
@@ -18,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What every process tells its peers about itself.
+    """The state of a process that it sends to its peers at regular intervals.
 
     Attributes:
-        name: The process, never used before.
+        name: Name of the process; no earlier process used it.
         role: ``gateway`` or ``scheduler``.
-        hall: Its hall.
-        address: ``ip:port`` of its inner listener.
-        applied: First ledger offset that it has not applied.
-        config: Configuration version in force on it.
-        unfit: Workers of its care that must get no new work.
-        members: Gateways among which it divides the executors' slots.
-        heard: Its peers' divisions that it has taken note of.
-        in_flight: Requests that it has at executors.
-        draining: Whether it is about to stop.
+        hall: Hall of the process.
+        address: ``ip:port`` of its listener for peers.
+        applied: First ledger offset that the process has not applied.
+        config: Version of its configuration in force.
+        unfit: Workers assigned to a scheduler that must get no new work.
+        members: Gateways among which a gateway divides the executors' slots.
+        heard: Divisions of its peers that a gateway has received.
+        in_flight: Number of its requests that executors have not answered.
+        draining: Whether the process is about to stop.
         callers: ``ip:port`` of a gateway's listener for callers.
         serves: Services for which a gateway has executors.
     """
@@ -52,35 +52,35 @@
 
 
 class Submit(NamedTuple):
-    """Ask a scheduler to take a job."""
+    """Request to submit a job to a scheduler."""
 
     spec: JobSpec
 
 
 class Cancel(NamedTuple):
-    """Ask a scheduler to cancel a job."""
+    """Request to cancel a job."""
 
     job_id: str
 
 
 class Ask(NamedTuple):
-    """Ask a scheduler where a job stands."""
+    """Query for the state of a job."""
 
     job_id: str
 
 
 class Explain(NamedTuple):
-    """Ask a scheduler why a job stands where it does."""
+    """Query for the state of a job and the decisions behind it."""
 
     job_id: str
 
 
 class FetchConfig(NamedTuple):
-    """Ask a peer for the configuration in force on it."""
+    """Request for the peer's configuration in force."""
 
 
 class ConfigAnswer(NamedTuple):
-    """The configuration in force on a peer."""
+    """The answer to :class:`FetchConfig`: the sender's configuration in force."""
 
     state: ConfigState
 
@@ -90,8 +90,8 @@
     """A scheduler's answer about a job.
 
     Attributes:
-        status: ``accepted``, ``refused``, ``unknown`` (yet), ``known`` or
-            ``absent``.
+        status: ``accepted``, ``refused``, ``known``, ``absent``, or ``unknown`` while
+            the scheduler cannot tell.
         body: Details as JSON.
     """
 
@@ -105,10 +105,11 @@
 
 
 class Envelope(NamedTuple):
-    """A message with the number that pairs answers with requests.
+    """A message with the number of its request.
 
     Attributes:
-        request: The number; 0 for a message that has no answer.
+        request: Number that an answer shares with its request; 0 for a message that
+            expects no answer.
         message: The message.
     """
 
--- a/src/linkspan/peer/peer.capnp
+++ b/src/linkspan/peer/peer.capnp
@@ -1,8 +1,8 @@
 @0xb3e7c1a95d20f846;
-# Messages between linkspan's processes. Ids are only ever added, never reused.
+# Messages between linkspan processes. Field ids are only added, never reused.
 
 struct Envelope {
-  request @0 :UInt32;       # pairs an answer with its request; 0 for neither
+  request @0 :UInt32;       # number that an answer shares with its request; 0 if no answer is expected
   union {
     heartbeat @1 :Heartbeat;
     submit @2 :Data;        # JSON of a JobSpec
@@ -20,14 +20,14 @@
   role @1 :Text;
   hall @2 :Text;
   address @3 :Text;
-  applied @4 :UInt64;       # first ledger offset that it has not applied
+  applied @4 :UInt64;       # first ledger offset that the process has not applied
   config @5 :UInt64;        # configuration version in force
-  unfit @6 :List(Text);     # workers of its care that must get no new work
-  members @7 :List(Text);   # gateways among which it divides the slots
-  heard @8 :List(Heard);    # divisions that it has taken note of
+  unfit @6 :List(Text);     # workers assigned to a scheduler that must get no new work
+  members @7 :List(Text);   # gateways among which a gateway divides the slots
+  heard @8 :List(Heard);    # divisions of its peers that a gateway has received
   inFlight @9 :UInt32;
   draining @10 :Bool;
-  callers @11 :Text;        # ip:port of a gateway's callers' listener
+  callers @11 :Text;        # ip:port of a gateway's listener for callers
   serves @12 :List(Text);   # services for which a gateway has executors
 }
 
--- a/src/linkspan/peer/server.py
+++ b/src/linkspan/peer/server.py
@@ -1,4 +1,4 @@
-"""The listener for peers' messages."""
+"""Server for messages from peers."""
 
 from __future__ import annotations
 
@@ -18,19 +18,22 @@
     from linkspan.peer.messages import Message
 
 MAX_CONNECTIONS = 1_024
-"""Connections that are served at once; more are closed."""
+"""Limit on concurrent connections; further ones are closed."""
 
 SILENT_S = 120.0
-"""Time without a whole message after which a connection is closed. Peers open a link anew
-that was silent for 30 s before they use it, so none of these carries a message any more."""
+"""Time without a complete message after which a connection is closed.
+
+Peers reopen a connection that was silent for 30 s before they use it, so that a connection
+that is silent for this long carries no further message."""
 
 
 class PeerServer:
-    """Serves peers' messages; a peer that sends rubbish is cut off.
+    """Handles messages from peers; closes a connection that sends an invalid frame.
 
     Args:
-        handle: Called with each message; returns its answer, or None.
-        on_bad_peer: Called with the reason when a connection is cut.
+        handle: Called with each message; returns the answer, or None.
+        on_bad_peer: Called with the reason when a connection is closed for an invalid
+            frame.
     """
 
     def __init__(
@@ -49,7 +52,7 @@
         return f"PeerServer(connections={len(self._connections)})"
 
     async def start(self, host: str, port: int) -> str:
-        """Listen, and return the ``ip:port`` that was bound."""
+        """Start to listen, and return the bound ``ip:port``."""
         self._server = await asyncio.start_server(self._serve, host, port)
         bound = self._server.sockets[0].getsockname()
         return f"{bound[0]}:{bound[1]}"
