--- a/src/linkspan/ledger/ledger.py
+++ b/src/linkspan/ledger/ledger.py
@@ -141,8 +141,8 @@
         self.expelled: dict[str, int] = {}
         self.finished: OrderedDict[str, Finished] = OrderedDict()
         self.tombstones: OrderedDict[str, int] = OrderedDict()
-        self.handed: OrderedDict[str, Handover] = OrderedDict()
-        self.taken: OrderedDict[str, str] = OrderedDict()
+        self.handovers: OrderedDict[str, Handover] = OrderedDict()
+        self.taken_over: OrderedDict[str, str] = OrderedDict()
         self._last_finished = (0, "")
 
     def __repr__(self) -> str:
@@ -263,7 +263,7 @@
         if entry is None:
             return ApplyResult.UNKNOWN
         origin = f"{self.hall}/{job}"
-        if origin in self.handed or not entry.queued or hall == self.hall:
+        if origin in self.handovers or not entry.queued or hall == self.hall:
             return ApplyResult.WRONG_STATE
         tasks = []
         for index, state in enumerate(entry.states):
@@ -271,18 +271,18 @@
                 entry.states[index] = TaskState.MOVED
                 checkpoint = entry.checkpoints.pop(index, "")
                 tasks.append(MovedTask(index, entry.attempts[index], checkpoint))
-        self.handed[origin] = Handover(hall, TakenOver(origin, entry.spec, tuple(tasks)))
-        _drop_oldest(self.handed, MAX_HANDOVERS)
+        self.handovers[origin] = Handover(hall, TakenOver(origin, entry.spec, tuple(tasks)))
+        _drop_oldest(self.handovers, MAX_HANDOVERS)
         self._finish_if_over(entry)
         return ApplyResult.APPLIED
 
     def _take_over(self, taken: TakenOver) -> ApplyResult:
         """Queue the tasks that another hall's ledger handed over to this hall."""
         spec = taken.spec
-        if taken.origin in self.taken or self.spec_of(spec.job_id) is not None:
+        if taken.origin in self.taken_over or self.spec_of(spec.job_id) is not None:
             return ApplyResult.DUPLICATE
-        self.taken[taken.origin] = spec.job_id
-        _drop_oldest(self.taken, MAX_HANDOVERS)
+        self.taken_over[taken.origin] = spec.job_id
+        _drop_oldest(self.taken_over, MAX_HANDOVERS)
         entry = JobEntry(self.next_job, spec)
         entry.states = bytearray([TaskState.MOVED]) * spec.count
         for index, attempt, checkpoint in taken.tasks:
--- a/src/linkspan/ledger/snapshot.py
+++ b/src/linkspan/ledger/snapshot.py
@@ -121,8 +121,8 @@
             for finished in ledger.finished.values()
         ],
         "tombstones": list(ledger.tombstones.items()),
-        "handed": [[h.hall, taken_to_json(h.taken).decode()] for h in ledger.handed.values()],
-        "taken": list(ledger.taken.items()),
+        "handed": [[h.hall, taken_to_json(h.taken).decode()] for h in ledger.handovers.values()],
+        "taken": list(ledger.taken_over.items()),
     }
 
 
@@ -175,8 +175,8 @@
     ledger.tombstones.update(state["tombstones"])
     for target_hall, body in state["handed"]:
         taken = taken_from_json(body.encode())
-        ledger.handed[taken.origin] = Handover(target_hall, taken)
-    ledger.taken.update(state["taken"])
+        ledger.handovers[taken.origin] = Handover(target_hall, taken)
+    ledger.taken_over.update(state["taken"])
     return ledger
 
 
--- a/src/linkspan/peer/link.py
+++ b/src/linkspan/peer/link.py
@@ -22,7 +22,7 @@
 """Limit on the bytes buffered for a slow peer; beyond it the connection is closed."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time limit for connecting a connection."""
+"""Time limit for opening a connection."""
 
 RENEW_S = 30.0
 """Time without a message from a peer after which its connection is reopened before use.
--- a/src/linkspan/scheduler/caller_asks.py
+++ b/src/linkspan/scheduler/caller_asks.py
@@ -12,7 +12,7 @@
     from linkspan.ledger.ledger import Ledger
 
 CallerAsk: TypeAlias = Submitted | Cancelled
-"""A decision that a caller requests, and that the ledger alone does not lead to."""
+"""A decision that a caller requests; the scheduler cannot derive it from the ledger."""
 
 
 class CallerAsks:
--- a/src/linkspan/scheduler/core.py
+++ b/src/linkspan/scheduler/core.py
@@ -70,7 +70,7 @@
     workers handle repeated orders idempotently.
 
     Args:
-        name: This scheduler's name; no earlier scheduler used it.
+        name: This scheduler's name, which no earlier scheduler has used.
         ledger: The hall's ledger, as applied from the log.
         placer: The placement policy.
         timing: Intervals and limits that all schedulers of the hall share.
@@ -445,7 +445,10 @@
     # Placement.
 
     def _is_time_to_place(self, now: float) -> bool:
-        """Return whether a placement pass is due; without new records passes are rarer."""
+        """Return whether a placement pass is due.
+
+        Without new records a pass seldom finds a placement, so that passes are rarer.
+        """
         passed_at, offset = self._last_pass
         has_new_records = offset != self.ledger.next_offset
         return now - passed_at >= (
--- a/src/linkspan/scheduler/job_answers.py
+++ b/src/linkspan/scheduler/job_answers.py
@@ -78,10 +78,10 @@
 
 def _moved_to(ledger: Ledger, job_id: str) -> str:
     """Return the hall that has the job's other tasks, or "" when it is no longer recorded."""
-    for handover in ledger.handed.values():
+    for handover in ledger.handovers.values():
         if handover.taken.spec.job_id == job_id:
             return handover.hall
-    for origin, taken in ledger.taken.items():
+    for origin, taken in ledger.taken_over.items():
         if taken == job_id:
             return origin.rpartition("/")[0]
     return ""
--- a/src/linkspan/scheduler/proof.py
+++ b/src/linkspan/scheduler/proof.py
@@ -63,7 +63,7 @@
             confirmations.append(Confirmation(applied, now))
 
     def has_waited_out(self, offset: int, now: float) -> bool:
-        """Return whether leases of schedulers that have not applied ``offset`` have all expired."""
+        """Return whether all leases renewed without the record at ``offset`` have expired."""
         seen_at = self._first_seen.get(offset)
         if seen_at is None:
             return False
--- a/src/linkspan/scheduler/rescue.py
+++ b/src/linkspan/scheduler/rescue.py
@@ -14,7 +14,7 @@
     from linkspan.ledger.ledger import Ledger
 
 MAX_HANDOVERS_PER_CHECK = 50
-"""Limit on the jobs handed over per check; keeps the taking hall from being overloaded."""
+"""Limit on the jobs handed over per check; keeps the receiving hall from being overloaded."""
 
 
 def rescuer(lost: str, halls: Collection[str]) -> str:
@@ -44,7 +44,7 @@
         if entry.queued
         and not entry.cancelled
         and entry.spec.priority is not Priority.SERVICE
-        and f"{lost.hall}/{entry.number}" not in lost.handed
+        and f"{lost.hall}/{entry.number}" not in lost.handovers
     ]
     waiting.sort(key=lambda entry: (entry.spec.priority, entry.number))
     for entry in waiting[:MAX_HANDOVERS_PER_CHECK]:
@@ -57,6 +57,6 @@
     Covers the handovers that the lost hall's ledger has applied, apart from those
     that this hall has already taken over.
     """
-    for origin, handover in lost.handed.items():
-        if handover.hall == own.hall and origin not in own.taken:
+    for origin, handover in lost.handovers.items():
+        if handover.hall == own.hall and origin not in own.taken_over:
             yield handover.taken
--- a/src/linkspan/scheduler/rescue_task.py
+++ b/src/linkspan/scheduler/rescue_task.py
@@ -154,7 +154,7 @@
         """
         if self._has_resent_takeovers:
             return
-        for handover in list(self._core.ledger.handed.values()):
+        for handover in list(self._core.ledger.handovers.values()):
             record = Record(self._core.name, 0, 2**48, (handover.taken,))
             await self._node.log.append(ledger_stream(handover.hall), encode(record))
         self._has_resent_takeovers = True
--- a/src/linkspan/scheduler/timing.py
+++ b/src/linkspan/scheduler/timing.py
@@ -45,5 +45,5 @@
 
     @property
     def offline_bound_s(self) -> float:
-        """Time on the local clock after which a scheduler without the log has stopped renewing."""
+        """Time on the local clock after which a scheduler without the log has certainly stopped."""
         return self.offline_renewal_s * (1 + self.drift)
--- a/src/linkspan/scheduler/worker_view.py
+++ b/src/linkspan/scheduler/worker_view.py
@@ -52,7 +52,7 @@
         self.closed = {closed.run: closed for closed in report.closed}
 
     def silence(self, now: float) -> float:
-        """Return the time in seconds since the worker was last known to be alive."""
+        """Return the seconds since the latest report was requested, or since the watch started."""
         return now - max(self.watched_since, self.report_started)
 
 
