--- a/src/linkspan/gateway/job_request.py
+++ b/src/linkspan/gateway/job_request.py
@@ -12,7 +12,7 @@
 from linkspan.config.document import labels_of, resources_of
 from linkspan.errors import InvalidInput, LinkspanError, SelectorSyntaxError
 from linkspan.model.job import JobSpec, Priority
-from linkspan.scheduler.services import PREFIX as SERVICE_PREFIX
+from linkspan.scheduler.services import SERVICE_JOB_PREFIX
 from linkspan.selectors.selector import parse_selector
 
 MAX_TASKS = 10_000
@@ -46,8 +46,8 @@
     size = resources_of("size", fields.get("size"))
     if not size.milli_cpu or not size.memory_mb:
         raise InvalidInput("size", "no processors or memory", "give milli_cpu and memory_mb")
-    if str(fields.get("job_id", "")).startswith(SERVICE_PREFIX):
-        raise InvalidInput("job_id", f"begins with {SERVICE_PREFIX!r}", "choose another id")
+    if str(fields.get("job_id", "")).startswith(SERVICE_JOB_PREFIX):
+        raise InvalidInput("job_id", f"begins with {SERVICE_JOB_PREFIX!r}", "choose another id")
     return JobSpec(
         job_id=_name(fields, "job_id"),
         customer=_name(fields, "customer"),
--- a/src/linkspan/scheduler/caller_asks.py
+++ b/src/linkspan/scheduler/caller_requests.py
@@ -11,11 +11,11 @@
 
     from linkspan.ledger.ledger import Ledger
 
-CallerAsk: TypeAlias = Submitted | Cancelled
+CallerRequest: TypeAlias = Submitted | Cancelled
 """A decision that a caller requests; the scheduler cannot derive it from the ledger."""
 
 
-class CallerAsks:
+class CallerRequests:
     """Pending caller requests, resent until their records show up in the log.
 
     After a lost append the scheduler derives all other decisions from the ledger
@@ -29,16 +29,16 @@
 
     def __init__(self, resend_s: float) -> None:
         self._resend_s = resend_s
-        self._resend_until: dict[CallerAsk, float] = {}
+        self._resend_until: dict[CallerRequest, float] = {}
 
     def __repr__(self) -> str:
-        return f"CallerAsks({len(self._resend_until)})"
+        return f"CallerRequests({len(self._resend_until)})"
 
-    def add(self, request: CallerAsk, now: float) -> None:
+    def add(self, request: CallerRequest, now: float) -> None:
         """Keep a request that a caller made at ``now``, in seconds."""
         self._resend_until[request] = now + self._resend_s
 
-    def pending(self, ledger: Ledger, now: float) -> Iterator[CallerAsk]:
+    def pending(self, ledger: Ledger, now: float) -> Iterator[CallerRequest]:
         """Yield the requests that the ledger does not show yet; drop all others."""
         for request, until in list(self._resend_until.items()):
             if now > until or _is_in_ledger(request, ledger):
@@ -47,7 +47,7 @@
                 yield request
 
 
-def _is_in_ledger(request: CallerAsk, ledger: Ledger) -> bool:
+def _is_in_ledger(request: CallerRequest, ledger: Ledger) -> bool:
     if isinstance(request, Submitted):
         job_id = request.spec.job_id
         return job_id in ledger.tombstones or ledger.spec_of(job_id) is not None
--- a/src/linkspan/scheduler/core.py
+++ b/src/linkspan/scheduler/core.py
@@ -28,10 +28,10 @@
 )
 from linkspan.ledger.run_keys import worker_of
 from linkspan.model.job import AttemptId, TaskId
-from linkspan.scheduler.caller_asks import CallerAsks
+from linkspan.scheduler.caller_requests import CallerRequests
 from linkspan.scheduler.hall_peers import HallPeers
+from linkspan.scheduler.lease_expiry import LeaseExpiryProof
 from linkspan.scheduler.outbox import Outbox
-from linkspan.scheduler.proof import LapseProof
 from linkspan.scheduler.services import service_changes
 from linkspan.scheduler.timing import Timing
 from linkspan.scheduler.worker_decisions import worker_decisions
@@ -92,13 +92,13 @@
         self.placer = placer
         self.timing = timing or Timing()
         self.outbox = Outbox(name, self.timing.append_timeout_s)
-        self.proof = LapseProof(name, self.timing)
+        self.proof = LeaseExpiryProof(name, self.timing)
         self.workers: dict[str, WorkerView] = {}
         self.tail_read = float("-inf")
         self._small_hall = small_hall
         self.leaving: frozenset[str] = frozenset()
         self.services: Mapping[str, JobSpec] = {}
-        self._requests = CallerAsks(self.timing.resend_s)
+        self._requests = CallerRequests(self.timing.resend_s)
         self._recall_reasons: dict[AttemptId, str] = {}
         self._watched_names: set[str] = set()
         self._assigned_among: frozenset[str] = frozenset()
@@ -415,7 +415,7 @@
             name = self.ledger.workers[placement.worker].spec.name
             if self._scheduler_of(name, self.live_schedulers(now)) != self.name:
                 continue
-            if now >= self.proof.lapse_at(self.ledger, placement.recalled):
+            if now >= self.proof.expires_at(self.ledger, placement.recalled):
                 yield Lapsed(self.ledger.attempt_of(task))
 
     def _is_leaving(self, view: WorkerView) -> bool:
--- a/src/linkspan/scheduler/daemon.py
+++ b/src/linkspan/scheduler/daemon.py
@@ -24,6 +24,7 @@
 from linkspan.scheduler.core import SchedulerCore, Step
 from linkspan.scheduler.history import History
 from linkspan.scheduler.job_answers import cancel_answer, submit_answer
+from linkspan.scheduler.job_requests import JobRequestHandlers
 from linkspan.scheduler.messages import (
     AppendFinished,
     CancelRequested,
@@ -35,11 +36,10 @@
     ReportReceived,
     SubmitRequested,
 )
-from linkspan.scheduler.questions import Questions
-from linkspan.scheduler.rescue_task import RescueTask
 from linkspan.scheduler.services import wanted_services
 from linkspan.scheduler.snapshots import Snapshots, ledger_stream
 from linkspan.scheduler.status import status_of
+from linkspan.scheduler.takeover_task import TakeoverTask
 from linkspan.scheduler.timing import Timing
 from linkspan.services.http import HttpWorkers
 
@@ -99,7 +99,7 @@
             node.name, Ledger(self._settings.hall), self._placer, timing=self._timing
         )
         node.complete_heartbeat = self._complete_heartbeat
-        Questions(self._core, self._inbox, self._history).register(node)
+        JobRequestHandlers(self._core, self._inbox, self._history).register(node)
         node.heartbeats.subscribe(self._on_heartbeat)
         node.host_lists.subscribe(self._on_hosts)
         node.config_states.subscribe(self._on_config)
@@ -109,13 +109,13 @@
         node.events.write(Event.LISTENING, peer=node.address, operator=operators)
         node.spawn(self._tail_ledger())
         node.spawn(self._run_core(self._core))
-        rescue = RescueTask(
+        takeover = TakeoverTask(
             node,
             self._core,
             lambda taken: self._inbox.put_nowait(JobsTakenOver(tuple(taken))),
             silence_s=self._settings.hall_silence_s,
         )
-        node.spawn(rescue.run())
+        node.spawn(takeover.run())
         await node.wait_for_stop()
         await self._leave_hall(self._core)
         await runner.cleanup()
--- a/src/linkspan/scheduler/hall_peers.py
+++ b/src/linkspan/scheduler/hall_peers.py
@@ -11,7 +11,7 @@
 
     from linkspan.ledger.ledger import Ledger
     from linkspan.ledger.records import Decision
-    from linkspan.scheduler.proof import LapseProof
+    from linkspan.scheduler.lease_expiry import LeaseExpiryProof
     from linkspan.scheduler.timing import Timing
 
 
@@ -48,7 +48,7 @@
         reported = [self._unfit[name] for name in self._live_names(now) if name in self._unfit]
         return frozenset().union(*reported)
 
-    def expulsions(self, ledger: Ledger, proof: LapseProof, now: float) -> Iterator[Decision]:
+    def expulsions(self, ledger: Ledger, proof: LeaseExpiryProof, now: float) -> Iterator[Decision]:
         """Yield records that expel silent peers, and that remove expelled ones after the wait.
 
         The silence of a peer that never sent a heartbeat is measured from the first
--- a/src/linkspan/scheduler/questions.py
+++ b/src/linkspan/scheduler/job_requests.py
@@ -22,7 +22,7 @@
 """Time that a submission or cancellation waits for the ledger; then the answer is "unknown"."""
 
 
-class Questions:
+class JobRequestHandlers:
     """Answers gateways: requests pass to the core's task, queries read its ledger.
 
     Args:
@@ -39,7 +39,7 @@
         self._history = history
 
     def __repr__(self) -> str:
-        return f"Questions({self._core.name!r})"
+        return f"JobRequestHandlers({self._core.name!r})"
 
     def register(self, node: Node) -> None:
         """Register the handlers for requests of peers with the node."""
--- a/src/linkspan/scheduler/proof.py
+++ b/src/linkspan/scheduler/lease_expiry.py
@@ -21,7 +21,7 @@
     received_at: float
 
 
-class LapseProof:
+class LeaseExpiryProof:
     """Computes when the last lease of a recalled attempt has certainly expired.
 
     A lease is renewed only by schedulers that the ledger lists as joined and that
@@ -42,7 +42,7 @@
         self._confirmed: dict[str, list[Confirmation]] = {}
 
     def __repr__(self) -> str:
-        return f"LapseProof({self._name!r}, recalls={len(self._first_seen)})"
+        return f"LeaseExpiryProof({self._name!r}, recalls={len(self._first_seen)})"
 
     def note_offset(self, offset: int, now: float) -> None:
         """Keep the local time at which a recall or an expulsion was first seen in the log."""
@@ -69,7 +69,7 @@
             return False
         return now >= seen_at + self._timing.offline_bound_s + self._timing.lease_bound_s
 
-    def lapse_at(self, ledger: Ledger, recalled: int) -> float:
+    def expires_at(self, ledger: Ledger, recalled: int) -> float:
         """Return the local time at which the lease of a recalled attempt has certainly expired.
 
         Args:
--- a/src/linkspan/scheduler/services.py
+++ b/src/linkspan/scheduler/services.py
@@ -18,7 +18,7 @@
     from linkspan.ledger.ledger import Ledger
     from linkspan.ledger.records import Decision
 
-PREFIX = "service:"
+SERVICE_JOB_PREFIX = "service:"
 """Prefix of the ids of service jobs; the gateway refuses it in callers' job ids."""
 
 
@@ -82,4 +82,4 @@
     )
     digest = xxh3_64_hexdigest(job_to_json(spec))[:8]
     fields = {name: getattr(spec, name) for name in JobSpec.__dataclass_fields__}
-    return JobSpec(**{**fields, "job_id": f"{PREFIX}{service.name}:{digest}"})
+    return JobSpec(**{**fields, "job_id": f"{SERVICE_JOB_PREFIX}{service.name}:{digest}"})
--- a/src/linkspan/scheduler/rescue.py
+++ b/src/linkspan/scheduler/takeover.py
@@ -17,7 +17,7 @@
 """Limit on the jobs handed over per check; keeps the receiving hall from being overloaded."""
 
 
-def rescuer(lost: str, halls: Collection[str]) -> str:
+def takeover_hall(lost: str, halls: Collection[str]) -> str:
     """Return the hall that takes over the queue of a lost hall.
 
     Args:
--- a/src/linkspan/scheduler/rescue_task.py
+++ b/src/linkspan/scheduler/takeover_task.py
@@ -13,8 +13,8 @@
 from linkspan.ledger.ledger import Ledger
 from linkspan.ledger.records import Record
 from linkspan.ledger.snapshot import Recovery
-from linkspan.scheduler.rescue import handovers, rescuer, takeovers
 from linkspan.scheduler.snapshots import ledger_stream
+from linkspan.scheduler.takeover import handovers, takeover_hall, takeovers
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -66,7 +66,7 @@
                 return self._recovery.ledger
 
 
-class RescueTask:
+class TakeoverTask:
     """Hands the queue of a lost hall over to this hall, and takes the jobs over.
 
     A hall counts as lost when no heartbeat of its schedulers arrives and no record
@@ -98,7 +98,7 @@
         self._has_resent_takeovers = False
 
     def __repr__(self) -> str:
-        return f"RescueTask(lost={sorted(self._readers)})"
+        return f"TakeoverTask(lost={sorted(self._readers)})"
 
     async def run(self) -> None:
         """Check the halls at regular intervals while this scheduler is the leader."""
@@ -112,7 +112,7 @@
             with contextlib.suppress(LogUnavailable):
                 await self._resend_takeovers()
                 for hall in self._silent_halls(now):
-                    await self._rescue(hall)
+                    await self._take_over(hall)
 
     def _silent_halls(self, now: float) -> list[str]:
         """Return the silent halls whose queues this hall has to take over."""
@@ -126,9 +126,9 @@
         silent = sorted(halls - live) if now - self._started > self._silence_s else []
         for hall in self._readers.keys() - silent:
             del self._readers[hall]
-        return [hall for hall in silent if rescuer(hall, live & (halls | {own})) == own]
+        return [hall for hall in silent if takeover_hall(hall, live & (halls | {own})) == own]
 
-    async def _rescue(self, hall: str) -> None:
+    async def _take_over(self, hall: str) -> None:
         reader = self._readers.setdefault(hall, HallReader(self._node, hall))
         lost = await reader.read()
         if lost is None:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -20,7 +20,7 @@
 from linkspan.model.resources import Resources
 from linkspan.routing.shares import ShareTable, slot_owners
 from linkspan.scheduler.core import SchedulerCore
-from linkspan.scheduler.proof import LapseProof
+from linkspan.scheduler.lease_expiry import LeaseExpiryProof
 from linkspan.scheduler.worker_orders import WorkerOrders
 from tests.config import test_store
 from tests.ledger import test_ledger
@@ -46,11 +46,11 @@
 _HEARD = ShareTable.heard
 
 
-def _lapse_at_once(self: LapseProof, ledger: Ledger, recalled: int) -> float:
+def _lapse_at_once(self: LeaseExpiryProof, ledger: Ledger, recalled: int) -> float:
     return self._first_seen.get(recalled, float("inf"))
 
 
-def _lapse_after_lease(self: LapseProof, ledger: Ledger, recalled: int) -> float:
+def _lapse_after_lease(self: LeaseExpiryProof, ledger: Ledger, recalled: int) -> float:
     return self._first_seen.get(recalled, float("inf")) + self._timing.lease_bound_s
 
 
@@ -129,11 +129,11 @@
 MUTATIONS = [
     Mutation("no rule taken out", Ledger, "__repr__", Ledger.__repr__),
     Mutation("a recalled attempt waits for its proof", Ledger, "_recall", _requeue_recalled),
-    Mutation("the proof waits at all", LapseProof, "lapse_at", _lapse_at_once),
+    Mutation("the proof waits at all", LeaseExpiryProof, "expires_at", _lapse_at_once),
     Mutation(
         "the proof waits for schedulers that do not confirm",
-        LapseProof,
-        "lapse_at",
+        LeaseExpiryProof,
+        "expires_at",
         _lapse_after_lease,
     ),
     Mutation("renewing ends without the log's end", SchedulerCore, "may_renew", _renew_always),
--- a/tests/scheduler/test_rescue.py
+++ b/tests/scheduler/test_rescue.py
@@ -9,7 +9,7 @@
 from linkspan.ledger.ledger import ApplyResult
 from linkspan.ledger.records import Cancelled, Ended, Evicted, Outcome, Placed, Submitted
 from linkspan.model.job import AttemptId, Priority
-from linkspan.scheduler.rescue import handovers, rescuer, takeovers
+from linkspan.scheduler.takeover import handovers, takeover_hall, takeovers
 from tests.builders import LedgerBuilder, job, worker
 
 STEPS = st.lists(
@@ -89,4 +89,4 @@
 
 
 def test_one_hall_looks_after_a_lost_one() -> None:
-    assert rescuer("lost", ["a", "b"]) == rescuer("lost", ["b", "a"])
+    assert takeover_hall("lost", ["a", "b"]) == takeover_hall("lost", ["b", "a"])
