--- a/bench/placement.py
+++ b/bench/placement.py
@@ -162,7 +162,7 @@
             return None
         if self.without == "admission":
             return float(worker)
-        return self.colocation.predicted_with(str(worker), task.kind)
+        return self.colocation.predict_with(str(worker), task.kind)
 
     def allowed(self) -> Iterator[int]:
         """Yield the workers out of quarantine."""
@@ -170,7 +170,7 @@
 
     def step(self) -> None:
         """Refresh what runs where before and after acting."""
-        self._held = {int(name) for name in self.quarantine.held(self.world.now)}
+        self._held = {int(name) for name in self.quarantine.quarantined(self.world.now)}
         for worker in range(WORKERS):
             self._note(worker)
         super().step()
@@ -181,7 +181,7 @@
             for t in self.world.tasks[worker].values()
         ]
         services = {s: s for s in self.world.services[worker]}
-        self.colocation.note_company(str(worker), self.world.now, services, batch)
+        self.colocation.record_tasks(str(worker), self.world.now, services, batch)
 
     def try_place(self, task: Task, *, urgent: bool = False) -> bool:
         """Place, and keep the picture of what runs where up to date."""
@@ -198,7 +198,7 @@
         for number, used in report.used:
             if number in self.kinds:
                 self.sizes.learn(self.kinds[number], used)
-        self.colocation.note_measured(
+        self.colocation.record_measurement(
             str(report.worker), report.service, report.load, report.latency, report.measured
         )
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -133,9 +133,9 @@
     for number in ledger.workers:
         batch = [BatchState(n, f"kind-{n}", 0.0, False) for n in range(9)]
         services: dict[object, str] = {f"s{n}": f"service-{n}" for n in range(3)}
-        placer.colocation.note_company(str(number), 0.0, services, batch)
+        placer.colocation.record_tasks(str(number), 0.0, services, batch)
         for n in range(3):
-            placer.colocation.note_measured(str(number), f"s{n}", 0.5, 0.6, 1.0)
+            placer.colocation.record_measurement(str(number), f"s{n}", 0.5, 0.6, 1.0)
     fit = list(ledger.workers)
     return _seconds(lambda: list(placer.place(ledger, fit, (), 0.0)), 3) * 1e3
 
--- a/src/linkspan/placement/colocation.py
+++ b/src/linkspan/placement/colocation.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from linkspan.placement.company_history import CompanyHistory
+from linkspan.placement.colocation_history import ColocationHistory
 from linkspan.placement.guard import (
     LOAD_RISE,
     THROUGHPUT_FIRST,
@@ -70,7 +70,7 @@
     """State of one worker."""
 
     guard: Guard
-    history: CompanyHistory = field(default_factory=CompanyHistory)
+    history: ColocationHistory = field(default_factory=ColocationHistory)
     services: dict[object, ServiceState] = field(default_factory=dict)
     batch: Sequence[BatchState] = ()
 
@@ -96,7 +96,7 @@
     def __repr__(self) -> str:
         return f"Colocation(workers={len(self._worker_states)}, model={self.model!r})"
 
-    def note_company(
+    def record_tasks(
         self,
         worker: str,
         when: float,
@@ -121,7 +121,7 @@
             for key, kind in services.items()
         }
 
-    def note_measured(
+    def record_measurement(
         self, worker: str, key: object, load: float, latency: float, when: float
     ) -> None:
         """Learn from a delayed measurement of a service task.
@@ -131,7 +131,7 @@
             key: Key of the service task.
             load: Load at the time of the measurement, from 0 to 1.
             latency: Latency over target.
-            when: Time of the measurement in seconds, on the clock of :meth:`note_company`.
+            when: Time of the measurement in seconds, on the clock of :meth:`record_tasks`.
         """
         worker_state = self._state_of(worker)
         known = worker_state.services.get(key)
@@ -155,7 +155,7 @@
             for state in worker_state.services.values()
         ]
 
-    def predicted_with(
+    def predict_with(
         self, worker: str, kind: str, *, counts: Mapping[str, float] | None = None
     ) -> float | None:
         """Predict the highest latency over target with one more task of a kind on the worker.
--- a/src/linkspan/placement/company_history.py
+++ b/src/linkspan/placement/colocation_history.py
@@ -12,11 +12,11 @@
 """Limit on the changes kept per worker, sufficient for reports that are 30 s late."""
 
 
-class CompanyHistory:
+class ColocationHistory:
     """Number of tasks by kind over time, on one worker.
 
     Example:
-        >>> history = CompanyHistory()
+        >>> history = ColocationHistory()
         >>> history.note(10.0, {"merge": 1})
         >>> history.note(20.0, {"merge": 2})
         >>> history.at(15.0), history.at(25.0), history.at(5.0)
@@ -27,7 +27,7 @@
         self._changes: deque[tuple[float, Mapping[str, float]]] = deque(maxlen=MAX_CHANGES)
 
     def __repr__(self) -> str:
-        return f"CompanyHistory(changes={len(self._changes)})"
+        return f"ColocationHistory(changes={len(self._changes)})"
 
     @property
     def changed(self) -> float:
--- a/src/linkspan/placement/learned.py
+++ b/src/linkspan/placement/learned.py
@@ -56,7 +56,7 @@
         fit = self._fit_cost.cost(spec, size, candidate)
         if spec.priority in (Priority.SERVICE, Priority.WATCHER):
             return fit
-        predicted = self._colocation.predicted_with(
+        predicted = self._colocation.predict_with(
             str(candidate.number), spec.kind, counts=candidate.kinds
         )
         return None if predicted is None else predicted + 0.05 * fit
@@ -118,7 +118,7 @@
             elif spec.priority is Priority.BATCH:
                 batch.append(BatchState(task, spec.kind, 0.0, task in throttled))
         throttled &= running
-        self.colocation.note_company(str(number), now, services, batch)
+        self.colocation.record_tasks(str(number), now, services, batch)
 
     def _learn_usage(
         self, usage: UsageSample, entry: JobEntry, number: int, task: TaskId, measured: float
@@ -127,7 +127,7 @@
         self.sizes.learn(spec.kind, usage.used)
         if spec.priority is Priority.SERVICE and usage.latency > 0.0:
             load = usage.used.milli_cpu / max(entry.size.milli_cpu, 1)
-            self.colocation.note_measured(str(number), task, load, usage.latency, measured)
+            self.colocation.record_measurement(str(number), task, load, usage.latency, measured)
 
     def _apply_action(self, action: Action, ledger: Ledger, number: int) -> None:
         task = action.key
@@ -169,7 +169,7 @@
         self, ledger: Ledger, fit: Collection[int], pending: Iterable[Placed], now: float
     ) -> Iterator[tuple[TaskId, int]]:
         """Yield placements on workers outside quarantine, and preempt tasks for urgent jobs."""
-        quarantined = {ledger.worker_numbers[name] for name in self.quarantine.held(now)}
+        quarantined = {ledger.worker_numbers[name] for name in self.quarantine.quarantined(now)}
         allowed = [number for number in fit if number not in quarantined]
         yield from super().place(ledger, allowed, pending, now)
         self._preempt_for_urgent(ledger, allowed, now)
--- a/src/linkspan/placement/quarantine.py
+++ b/src/linkspan/placement/quarantine.py
@@ -80,7 +80,7 @@
         self._kinds[end.kind].append(end)
         if not end.failed or record.until > now or not self._fails_more_than_elsewhere(end.worker):
             return False
-        if len(self.held(now)) + 1 > max(1, int(MAX_QUARANTINED_SHARE * workers)):
+        if len(self.quarantined(now)) + 1 > max(1, int(MAX_QUARANTINED_SHARE * workers)):
             return False
         duration_s = min(FIRST_QUARANTINE_S * 2**record.quarantines, MAX_QUARANTINE_S)
         record.until = now + duration_s
@@ -88,7 +88,7 @@
         record.ends.clear()
         return True
 
-    def held(self, now: float) -> Collection[str]:
+    def quarantined(self, now: float) -> Collection[str]:
         """Return the names of the workers in quarantine at ``now``, in seconds."""
         return {name for name, record in self._workers.items() if record.until > now}
 
--- a/tests/placement/test_learning.py
+++ b/tests/placement/test_learning.py
@@ -10,7 +10,7 @@
 
 from linkspan.model.resources import Resources
 from linkspan.placement.colocation import MAX_TRIALS, Colocation
-from linkspan.placement.company_history import CompanyHistory
+from linkspan.placement.colocation_history import ColocationHistory
 from linkspan.placement.guard import BatchState, Guard, GuardWeights, Measure, ServiceState
 from linkspan.placement.interference import PRIOR_EFFECT, InterferenceModel
 from linkspan.placement.preemption import Site, Victim, cheapest_preemption
@@ -57,11 +57,11 @@
     quiet, noisy = [], [BatchState("t1", "merge", 0.0, False)]
     for n in range(40):
         start = n * 40.0
-        colocation.note_company("w", start, {"s": "finder"}, noisy if n % 2 else quiet)
-        colocation.note_measured("w", "s", 0.5, 0.9 if n % 2 else 0.5, start + 1.0)
+        colocation.record_tasks("w", start, {"s": "finder"}, noisy if n % 2 else quiet)
+        colocation.record_measurement("w", "s", 0.5, 0.9 if n % 2 else 0.5, start + 1.0)
         if n > 2:
             history_says = start - 39.0
-            colocation.note_measured("w", "s", 0.5, 0.5 if n % 2 else 0.9, history_says)
+            colocation.record_measurement("w", "s", 0.5, 0.5 if n % 2 else 0.9, history_says)
     assert colocation.model.effect("finder", 0.5, "merge").mean > 0.2
     assert colocation.model.base("finder", 0.5) < 0.65
 
@@ -70,11 +70,11 @@
     colocation = Colocation()
     admitted = 0
     for n in range(10):
-        colocation.note_company(f"w{n}", 0.0, {"s": "finder"}, [])
-        if colocation.predicted_with(f"w{n}", "new") is not None:
+        colocation.record_tasks(f"w{n}", 0.0, {"s": "finder"}, [])
+        if colocation.predict_with(f"w{n}", "new") is not None:
             admitted += 1
             batch = [BatchState(n, "new", 0.0, False)]
-            colocation.note_company(f"w{n}", 0.0, {"s": "finder"}, batch)
+            colocation.record_tasks(f"w{n}", 0.0, {"s": "finder"}, batch)
     assert admitted == MAX_TRIALS
 
 
@@ -101,7 +101,7 @@
 
 
 def test_history_keeps_company_by_time() -> None:
-    history = CompanyHistory()
+    history = ColocationHistory()
     history.note(1.0, {"a": 1.0})
     history.note(2.0, {"a": 1.0})
     history.note(3.0, {"a": 2.0})
@@ -140,8 +140,8 @@
     for n in range(400):
         now += 0.5
         quarantine.note(End(f"k{n % 5}", f"w{n % 8}", n % 8 < 6), now, 8)
-        assert len(quarantine.held(now)) <= MAX_QUARANTINED_SHARE * 8
-    assert quarantine.held(now + 10_000.0) == set()
+        assert len(quarantine.quarantined(now)) <= MAX_QUARANTINED_SHARE * 8
+    assert quarantine.quarantined(now + 10_000.0) == set()
 
 
 SITES = st.lists(
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -113,9 +113,9 @@
     colocation = placer.colocation
     for n in range(200):
         batch = [BatchState(i, "route-plan", 0.0, False) for i in range(n % 3)]
-        colocation.note_company("1", n * 10.0, {"s": "finder"}, batch)
-        colocation.note_measured("1", "s", 0.5, 0.5 + 0.15 * (n % 3), n * 10.0 + 1.0)
-    colocation.note_company("1", 3_000.0, {"s": "finder"}, [])
+        colocation.record_tasks("1", n * 10.0, {"s": "finder"}, batch)
+        colocation.record_measurement("1", "s", 0.5, 0.5 + 0.15 * (n % 3), n * 10.0 + 1.0)
+    colocation.record_tasks("1", 3_000.0, {"s": "finder"}, [])
     placed = list(placer.place(built.ledger, [1], (), 0.0))
     assert 1 <= len(placed) <= 3
 
