--- a/src/linkspan/gateway/jobs.py
+++ b/src/linkspan/gateway/jobs.py
@@ -105,7 +105,7 @@
             for host in self._node.host_lists.value
             if host.role == "scheduler" and host.hall == hall and not host.leaving
         ]
-        return list(dict.fromkeys([*(peer.beat.address for peer in peers), *listed]))
+        return list(dict.fromkeys([*(peer.heartbeat.address for peer in peers), *listed]))
 
     async def _pass(self, job_id: str, message: Message, *, asks: bool) -> web.Response:
         """Ask the home's schedulers in turn until one answers."""
--- a/src/linkspan/gateway/operators.py
+++ b/src/linkspan/gateway/operators.py
@@ -110,17 +110,17 @@
         node, now = self._node, time.monotonic()
         peers = [
             {
-                "name": peer.beat.name,
-                "role": peer.beat.role,
-                "hall": peer.beat.hall,
-                "config_version": peer.beat.config,
-                "heard_s_ago": round(now - peer.heard, 1),
-                "draining": peer.beat.draining,
+                "name": peer.heartbeat.name,
+                "role": peer.heartbeat.role,
+                "hall": peer.heartbeat.hall,
+                "config_version": peer.heartbeat.config,
+                "heard_s_ago": round(now - peer.received_at, 1),
+                "draining": peer.heartbeat.draining,
             }
             for peer in node.directory.all()
         ]
         listed = {h.address for h in node.host_lists.value if h.role in ("gateway", "scheduler")}
-        heard = {peer.beat.address for peer in node.directory.live(now)} | {node.address}
+        heard = {peer.heartbeat.address for peer in node.directory.live(now)} | {node.address}
         return json_answer(  # type: ignore[no-any-return]
             {
                 "name": node.name,
--- a/src/linkspan/gateway/proxy.py
+++ b/src/linkspan/gateway/proxy.py
@@ -172,12 +172,12 @@
         """Return a gateway of another hall that has executors of the service."""
         now, node = time.monotonic(), self._node
         known = [
-            peer.beat
+            peer.heartbeat
             for peer in node.directory.known(role="gateway")
-            if service in peer.beat.serves
-            and peer.beat.hall != node.settings.hall
-            and not peer.beat.draining
-            and now - peer.heard <= FAR_SILENCE_S
+            if service in peer.heartbeat.serves
+            and peer.heartbeat.hall != node.settings.hall
+            and not peer.heartbeat.draining
+            and now - peer.received_at <= FAR_SILENCE_S
         ]
         return random.choice(known) if known else None
 
--- a/src/linkspan/peer/directory.py
+++ b/src/linkspan/peer/directory.py
@@ -13,8 +13,8 @@
 class Peer:
     """The latest heartbeat of a peer, and its time of arrival in seconds."""
 
-    beat: Heartbeat
-    heard: float
+    heartbeat: Heartbeat
+    received_at: float
 
 
 class PeerDirectory:
@@ -33,9 +33,9 @@
     def __repr__(self) -> str:
         return f"PeerDirectory({sorted(self._peers)})"
 
-    def hear(self, beat: Heartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Record a heartbeat that arrived at ``now``, in seconds."""
-        self._peers[beat.name] = Peer(beat, now)
+        self._peers[heartbeat.name] = Peer(heartbeat, now)
 
     def drop(self, name: str) -> None:
         """Remove a peer that has certainly stopped."""
@@ -53,22 +53,25 @@
         """
         self._remove_expired(now)
         known = self.known(role=role, hall=hall)
-        return [peer for peer in known if now - peer.heard <= self._silence_s]
+        return [peer for peer in known if now - peer.received_at <= self._silence_s]
 
     def known(self, *, role: str = "", hall: str = "") -> list[Peer]:
         """Return the peers of one role and hall, live or not, in the order of :meth:`live`."""
         found = [
             peer
             for peer in self._peers.values()
-            if role in ("", peer.beat.role) and hall in ("", peer.beat.hall)
+            if role in ("", peer.heartbeat.role) and hall in ("", peer.heartbeat.hall)
         ]
-        return sorted(found, key=lambda peer: (peer.beat.draining, -peer.heard, peer.beat.name))
+        return sorted(
+            found,
+            key=lambda peer: (peer.heartbeat.draining, -peer.received_at, peer.heartbeat.name),
+        )
 
     def newest_config(self) -> Peer | None:
         """Return the peer with the newest configuration version, or None without peers."""
-        return max(self._peers.values(), key=lambda peer: peer.beat.config, default=None)
+        return max(self._peers.values(), key=lambda peer: peer.heartbeat.config, default=None)
 
     def _remove_expired(self, now: float) -> None:
-        expired = [n for n, peer in self._peers.items() if now - peer.heard > self._forget_s]
+        expired = [n for n, peer in self._peers.items() if now - peer.received_at > self._forget_s]
         for name in expired:
             del self._peers[name]
--- a/src/linkspan/peer/link.py
+++ b/src/linkspan/peer/link.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 1.0
 """Time limit for opening a connection."""
 
-RENEW_S = 30.0
+MAX_IDLE_S = 30.0
 """Time without a message from a peer after which its connection is reopened before use.
 
 A connection that broke without a reset cannot be told from one that carries only messages
@@ -96,7 +96,7 @@
 
     async def _connect(self) -> StreamWriter:
         async with self._lock:
-            if time.monotonic() - self._last_message_at > RENEW_S:
+            if time.monotonic() - self._last_message_at > MAX_IDLE_S:
                 self._disconnect()
             if self._writer is not None and not self._writer.is_closing():
                 return self._writer
--- a/src/linkspan/peer/server.py
+++ b/src/linkspan/peer/server.py
@@ -20,7 +20,7 @@
 MAX_CONNECTIONS = 1_024
 """Limit on concurrent connections; further ones are closed."""
 
-SILENT_S = 120.0
+MAX_SILENCE_S = 120.0
 """Time without a complete message after which a connection is closed.
 
 Peers reopen a connection that was silent for 30 s before they use it, so that a connection
@@ -94,5 +94,5 @@
 
 
 async def _next_frame(reader: StreamReader) -> bytes | None:
-    async with asyncio.timeout(SILENT_S):
+    async with asyncio.timeout(MAX_SILENCE_S):
         return await read_frame(reader)
--- a/src/linkspan/runtime/node.py
+++ b/src/linkspan/runtime/node.py
@@ -168,7 +168,7 @@
         self.events.write(Event.PEER_BAD, reason=reason)
 
     async def _on_heartbeat(self, beat: Heartbeat) -> None:
-        self.directory.hear(beat, time.monotonic())
+        self.directory.record_heartbeat(beat, time.monotonic())
         self.heartbeats.on_next(beat)
         if beat.config > self.config.version:
             self._adopting = self._adopting or asyncio.create_task(self._adopt_from(beat.address))
@@ -212,7 +212,7 @@
             if host.role in ("gateway", "scheduler"):
                 (near if host.hall == self.settings.hall else far).add(host.address)
         for peer in self.directory.all():
-            (near if peer.beat.hall == self.settings.hall else far).add(peer.beat.address)
+            (near if peer.heartbeat.hall == self.settings.hall else far).add(peer.heartbeat.address)
         far -= near
         chosen = random.sample(sorted(far), min(REMOTE_PEERS, len(far)))
         return (near | set(chosen)) - {self.address}
@@ -229,8 +229,8 @@
 
     def _drop_peers_at(self, address: str) -> None:
         for peer in self.directory.all():
-            if peer.beat.address == address:
-                self.directory.drop(peer.beat.name)
+            if peer.heartbeat.address == address:
+                self.directory.drop(peer.heartbeat.name)
         self.gone.on_next(address)
 
     # Host list.
--- a/src/linkspan/scheduler/takeover_task.py
+++ b/src/linkspan/scheduler/takeover_task.py
@@ -121,8 +121,8 @@
         halls = {key.removeprefix("halls/") for key in document if key.startswith("halls/")}
         live = {own}
         for peer in self._node.directory.known(role="scheduler"):
-            if now - peer.heard <= self._silence_s:
-                live.add(peer.beat.hall)
+            if now - peer.received_at <= self._silence_s:
+                live.add(peer.heartbeat.hall)
         silent = sorted(halls - live) if now - self._started > self._silence_s else []
         for hall in self._readers.keys() - silent:
             del self._readers[hall]
--- a/tests/peer/test_peer.py
+++ b/tests/peer/test_peer.py
@@ -159,7 +159,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Heartbeats get no answer that would show whether they arrive."""
-    monkeypatch.setattr(peer_link, "RENEW_S", 0.2)
+    monkeypatch.setattr(peer_link, "MAX_IDLE_S", 0.2)
     heard = asyncio.Event()
 
     async def hear(message: Message) -> None:
@@ -183,18 +183,18 @@
 
 def test_directory_orders_and_forgets() -> None:
     directory = PeerDirectory(silence_s=3.0, forget_s=10.0)
-    directory.hear(Heartbeat("a", "scheduler", "h1", "x:1", config=5), 0.0)
-    directory.hear(Heartbeat("b", "scheduler", "h1", "x:2", draining=True), 2.0)
-    directory.hear(Heartbeat("c", "gateway", "h2", "x:3", config=9), 2.0)
-    assert [p.beat.name for p in directory.live(2.0, role="scheduler")] == ["a", "b"]
-    assert [p.beat.name for p in directory.live(4.0)] == ["c", "b"]
-    assert directory.newest_config().beat.name == "c"
+    directory.record_heartbeat(Heartbeat("a", "scheduler", "h1", "x:1", config=5), 0.0)
+    directory.record_heartbeat(Heartbeat("b", "scheduler", "h1", "x:2", draining=True), 2.0)
+    directory.record_heartbeat(Heartbeat("c", "gateway", "h2", "x:3", config=9), 2.0)
+    assert [p.heartbeat.name for p in directory.live(2.0, role="scheduler")] == ["a", "b"]
+    assert [p.heartbeat.name for p in directory.live(4.0)] == ["c", "b"]
+    assert directory.newest_config().heartbeat.name == "c"
     assert directory.live(20.0) == [] and directory.all() == []
 
 
 async def test_a_connection_that_went_silent_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those that the other side has given up would fill the server in the end."""
-    monkeypatch.setattr(peer_server, "SILENT_S", 0.2)
+    monkeypatch.setattr(peer_server, "MAX_SILENCE_S", 0.2)
 
     async def hear(message: Message) -> None:
         return None
