--- a/bench/placement.py
+++ b/bench/placement.py
@@ -168,7 +168,7 @@
             return None
         if self.without == "admission":
             return float(worker)
-        return self.colocation.predicted_with(str(worker), task.kind)
+        return self.colocation.predict_with(str(worker), task.kind)
 
     def allowed(self) -> Iterator[int]:
         """Yield the workers that are not in quarantine."""
@@ -176,7 +176,7 @@
 
     def step(self) -> None:
         """Update quarantine and colocated tasks, then act."""
-        self._quarantined = {int(name) for name in self.quarantine.held(self.world.now)}
+        self._quarantined = {int(name) for name in self.quarantine.quarantined(self.world.now)}
         for worker in range(WORKERS):
             self._update_colocation(worker)
         super().step()
@@ -187,7 +187,7 @@
             for t in self.world.tasks[worker].values()
         ]
         services = {s: s for s in self.world.services[worker]}
-        self.colocation.note_company(str(worker), self.world.now, services, batch)
+        self.colocation.record_tasks(str(worker), self.world.now, services, batch)
 
     def try_place(self, task: Task, *, urgent: bool = False) -> bool:
         """Place a task and update the colocated tasks of its worker."""
@@ -204,7 +204,7 @@
         for number, used in report.used:
             if number in self.kinds:
                 self.sizes.learn(self.kinds[number], used)
-        self.colocation.note_measured(
+        self.colocation.record_measurement(
             str(report.worker), report.service, report.load, report.latency, report.measured
         )
 
--- a/src/linkspan/gateway/proxy.py
+++ b/src/linkspan/gateway/proxy.py
@@ -174,12 +174,12 @@
         """Return a random gateway of another hall that has executors of the service."""
         now, node = time.monotonic(), self._node
         candidates = [
-            peer.beat
+            peer.heartbeat
             for peer in node.directory.known(role="gateway")
-            if service in peer.beat.serves
-            and peer.beat.hall != node.settings.hall
-            and not peer.beat.draining
-            and now - peer.heard <= MAX_REMOTE_SILENCE_S
+            if service in peer.heartbeat.serves
+            and peer.heartbeat.hall != node.settings.hall
+            and not peer.heartbeat.draining
+            and now - peer.received_at <= MAX_REMOTE_SILENCE_S
         ]
         return random.choice(candidates) if candidates else None
 
--- a/src/linkspan/runtime/node.py
+++ b/src/linkspan/runtime/node.py
@@ -168,7 +168,7 @@
         self.events.write(Event.PEER_BAD, reason=reason)
 
     async def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        self.directory.hear(heartbeat, time.monotonic())
+        self.directory.record_heartbeat(heartbeat, time.monotonic())
         self.heartbeats.on_next(heartbeat)
         if heartbeat.config > self.config.version:
             self._config_fetch = self._config_fetch or asyncio.create_task(
@@ -216,7 +216,7 @@
             if host.role in ("gateway", "scheduler"):
                 (near if host.hall == self.settings.hall else far).add(host.address)
         for peer in self.directory.all():
-            (near if peer.beat.hall == self.settings.hall else far).add(peer.beat.address)
+            (near if peer.heartbeat.hall == self.settings.hall else far).add(peer.heartbeat.address)
         far -= near
         chosen = random.sample(sorted(far), min(MAX_REMOTE_HEARTBEATS, len(far)))
         return (near | set(chosen)) - {self.address}
@@ -233,8 +233,8 @@
 
     def _drop_peers_at(self, address: str) -> None:
         for peer in self.directory.all():
-            if peer.beat.address == address:
-                self.directory.drop(peer.beat.name)
+            if peer.heartbeat.address == address:
+                self.directory.drop(peer.heartbeat.name)
         self.disconnected_addresses.on_next(address)
 
     # Host list.
--- a/src/linkspan/scheduler/status.py
+++ b/src/linkspan/scheduler/status.py
@@ -1,4 +1,4 @@
-"""A scheduler's state, for operators."""
+"""The scheduler's ``/status`` page for operators."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def status_of(core: SchedulerCore, now: float, *, config_version: int) -> dict[str, Any]:
-    """Return what ``/status`` shows, as a value for JSON.
+    """Return the content of ``/status``, as a value for JSON.
 
     Args:
-        core: The scheduler.
+        core: The core of this scheduler.
         now: Time in seconds.
         config_version: Configuration version in force.
     """
@@ -32,11 +32,11 @@
             "tail_age_s": round(now - core.tail_read, 3),
         },
         "workers": {
-            account.spec.name: {
-                "size": list(account.spec.size),
-                "used": list(account.used),
-                "tasks": len(account.tasks),
+            worker_entry.spec.name: {
+                "size": list(worker_entry.spec.size),
+                "used": list(worker_entry.used),
+                "tasks": len(worker_entry.tasks),
             }
-            for account in ledger.workers.values()
+            for worker_entry in ledger.workers.values()
         },
     }
