--- a/src/linkspan/host/front.py
+++ b/src/linkspan/host/front.py
@@ -15,7 +15,7 @@
 from linkspan.events import Event
 from linkspan.host._impossible import oversized_step
 from linkspan.host.caller_waits import MIN_WAIT_S, CallerWaits
-from linkspan.jobs.job_registry import REFRESH_S
+from linkspan.jobs.job_registry import MAX_REFRESH_WAIT_S
 from linkspan.jobs.records import Cancelled, JobState, Submitted
 
 if TYPE_CHECKING:
@@ -208,7 +208,7 @@
             if not self._job_registry.follower.ready:
                 # Another host may have accepted it, for another hall.
                 return self._refuse(job_id, queue, "job records not read yet")
-            if not self._job_registry.takes_writes:
+            if not self._job_registry.accepts_writes:
                 return self._refuse(job_id, queue, "store is away")
             oversized = oversized_step(spec, self._capacities(queue.service))
             if oversized is not None:
@@ -324,7 +324,7 @@
             queue: The queue.
             deadline: Steady time by which the caller wants an answer.
         """
-        await self._job_registry.refresh(limit_s=min(_wait_until(deadline), REFRESH_S))
+        await self._job_registry.refresh(limit_s=min(_wait_until(deadline), MAX_REFRESH_WAIT_S))
         if steady() - self._job_registry.follower.synced_at > COUNT_AGE_S:
             return _unavailable("job records not read lately")
         return _json(200, self._form.waiting(self._job_registry.catalog.waiting(queue.name)))
--- a/src/linkspan/jobs/__init__.py
+++ b/src/linkspan/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs as graphs of steps: their description, their records and their state."""
+"""Jobs as graphs of steps: specification, stored records and state."""
--- a/src/linkspan/jobs/catalog.py
+++ b/src/linkspan/jobs/catalog.py
@@ -1,4 +1,4 @@
-"""The jobs that this host knows of: a fold of the job records."""
+"""Catalog of all known jobs, built by applying the job records."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True)
 class JobEntry:
-    """A job and what is known of its progress.
+    """A job and its progress as far as known.
 
     Attributes:
-        submitted: The submission that counts, ``None`` if only a later record is known.
+        submitted: The submission with the lowest offset, ``None`` if only other records are known.
         offset: Offset of that submission.
-        moved: Shard that the job was moved to, and the offset of that record.
-        delegated: Loans of standing tasks to other shards, by shard.
-        returned_delegations: Loans that those shards gave back, by shard.
-        hosts: Hosts that accepted the job, each with a record of its own.
-        begun: Whether a task of it was started.
-        cancelled: Whether a caller cancelled it.
-        finished: Its final record.
+        moved: Shard that the job was moved to, and the offset of the record that moved it.
+        delegated: Delegations of standing tasks to other shards, by shard.
+        returned_delegations: Delegations that those shards returned, by shard.
+        hosts: Writers of the job's submissions, see :attr:`Submitted.host`.
+        begun: Whether a task of the job was started.
+        cancelled: Whether a caller cancelled the job.
+        finished: Record of the final state, ``None`` until the job is finished.
     """
 
     submitted: Submitted | None = None
@@ -56,22 +56,22 @@
 
     @property
     def shard(self) -> int | None:
-        """Shard that the job lives in, ``None`` while it is not known."""
+        """Shard that the job belongs to, ``None`` while unknown."""
         if self.moved:
             return self.moved[0]
         source = self.submitted or self.finished
         return source.shard if source else None
 
     def open_delegations(self, shard: int) -> tuple[Delegation, ...]:
-        """Return the loans to a shard that it has not given back."""
-        back = set(self.returned_delegations.get(shard, ()))
+        """Return the delegations to a shard that the shard has not returned."""
+        returned = set(self.returned_delegations.get(shard, ()))
         return tuple(
-            delegation for delegation in self.delegated.get(shard, ()) if delegation not in back
+            delegation for delegation in self.delegated.get(shard, ()) if delegation not in returned
         )
 
     @property
     def state(self) -> JobState:
-        """State to show to callers."""
+        """State of the job as callers see it."""
         if self.finished:
             return self.finished.state
         if self.cancelled:
@@ -80,10 +80,10 @@
 
 
 class JobCatalog:
-    """Fold of all job records, the same on every host.
+    """State of all jobs according to their records, the same on every host.
 
-    Records may be applied again and, while a reader catches up by keys, out of
-    order; the outcome is the same.
+    Applying records is idempotent and independent of their order. A reader that starts with the
+    newest record of each key may see records again or out of order.
     """
 
     def __init__(self) -> None:
@@ -94,59 +94,61 @@
         return f"JobCatalog({len(self._jobs)} jobs)"
 
     def get(self, job_id: str) -> JobEntry | None:
-        """Return the job, or ``None`` if it was never accepted as far as is known."""
+        """Return a job, or ``None`` if no acceptance of the job is known."""
         entry = self._jobs.get(job_id)
         return entry if entry and entry.known else None
 
     def waiting(self, queue: str) -> int:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return the number of accepted jobs of a queue that have not begun."""
         return len(self._waiting.get(queue, ()))
 
     def of_shard(self, shard: int) -> Iterator[tuple[str, JobEntry]]:
-        """Iterate over the jobs that live in a shard or lent tasks to it."""
+        """Iterate over the jobs that belong to a shard or have delegated tasks to the shard."""
         for job_id, entry in self._jobs.items():
             if entry.known and (entry.shard == shard or shard in entry.delegated):
                 yield job_id, entry
 
     def apply(self, offset: int, record: JobRecord) -> str:
-        """Take a record in and return the id of its job."""
+        """Apply a record and return the id of its job."""
         if isinstance(record, Submitted):
-            self._submitted(offset, record)
+            self._apply_submission(offset, record)
             return record.spec.job_id
         if isinstance(record, Tombstone):
-            self._dropped(record)
+            self._apply_tombstone(record)
             return record.job_id
         entry = self._jobs.setdefault(record.job_id, JobEntry())
         if isinstance(record, Moved):
             if entry.moved is None or entry.moved[1] < offset:
                 entry.moved = (record.shard, offset)
         elif isinstance(record, Delegated):
-            entry.delegated[record.shard] = _joined(entry.delegated, record)
+            entry.delegated[record.shard] = _merge_delegations(entry.delegated, record)
         elif isinstance(record, Returned):
-            entry.returned_delegations[record.shard] = _joined(entry.returned_delegations, record)
+            entry.returned_delegations[record.shard] = _merge_delegations(
+                entry.returned_delegations, record
+            )
         elif isinstance(record, Cancelled):
             entry.cancelled = True
         elif isinstance(record, Begun):
             entry.begun = True
         elif entry.finished is None:
             entry.finished = record
-        self._count(record.job_id, entry)
+        self._update_waiting(record.job_id, entry)
         return record.job_id
 
     def retain(self, job_ids: Iterable[str], *, before: int) -> int:
-        """Forget jobs that the store no longer holds, and return how many.
+        """Remove jobs that are no longer in the store, and return their number.
 
         Args:
-            job_ids: Jobs of which the store holds a key.
-            before: Jobs submitted at or past this offset are kept in any case.
+            job_ids: Jobs that have at least one key in the store.
+            before: Jobs submitted at or after this offset are kept in any case.
         """
         kept = set(job_ids)
-        gone = [j for j, e in self._jobs.items() if j not in kept and e.offset < before]
-        for job_id in gone:
-            self._forget(job_id)
-        return len(gone)
+        removed = [j for j, e in self._jobs.items() if j not in kept and e.offset < before]
+        for job_id in removed:
+            self._remove(job_id)
+        return len(removed)
 
-    def _submitted(self, offset: int, record: Submitted) -> None:
+    def _apply_submission(self, offset: int, record: Submitted) -> None:
         job_id = record.spec.job_id
         entry = self._jobs.setdefault(job_id, JobEntry())
         if record.host not in entry.hosts:
@@ -154,9 +156,9 @@
         if entry.submitted is None or offset < entry.offset:
             entry.submitted = record
             entry.offset = offset
-        self._count(job_id, entry)
+        self._update_waiting(job_id, entry)
 
-    def _dropped(self, record: Tombstone) -> None:
+    def _apply_tombstone(self, record: Tombstone) -> None:
         entry = self._jobs.get(record.job_id)
         if entry is None:
             return
@@ -167,12 +169,12 @@
         elif record.kind == "r":
             entry.returned_delegations.pop(int(record.part), None)
         elif record.kind == "f" or (record.kind == "s" and entry.finished is None):
-            # A submission is dropped before the end only if it was void.
-            self._forget(record.job_id)
+            # A submission is removed before the job is finished only if it was void.
+            self._remove(record.job_id)
         elif record.kind == "s":
             entry.submitted = None
 
-    def _count(self, job_id: str, entry: JobEntry) -> None:
+    def _update_waiting(self, job_id: str, entry: JobEntry) -> None:
         if entry.submitted is None:
             return
         waiting = self._waiting.setdefault(entry.submitted.spec.queue, set())
@@ -181,18 +183,18 @@
         elif entry.submitted.spec.schedule is None:
             waiting.add(job_id)
 
-    def _forget(self, job_id: str) -> None:
+    def _remove(self, job_id: str) -> None:
         entry = self._jobs.pop(job_id, None)
         if entry and entry.submitted:
             self._waiting.get(entry.submitted.spec.queue, set()).discard(job_id)
 
 
-def _joined(
+def _merge_delegations(
     known: dict[int, tuple[Delegation, ...]], record: Delegated | Returned
 ) -> tuple[Delegation, ...]:
-    """Return the loans of a record and those known before.
+    """Return the delegations of a record together with those known before.
 
-    Loans are numbered and none is taken back but by its return, so nothing is lost if a
-    record that was written earlier is done later than its successor.
+    Delegations are numbered and end only by being returned, so merging loses none if the store
+    applies a record after its successor.
     """
     return tuple(dict.fromkeys((*known.get(record.shard, ()), *record.delegations)))
--- a/src/linkspan/jobs/crash.py
+++ b/src/linkspan/jobs/crash.py
@@ -1,27 +1,30 @@
-"""An executor that crashed under a task, as records hold it."""
+"""Crash of an executor that ran a task, as kept in records."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 CONFIRMED = 1
-"""What records hold of a crash whose run is known to have been there; 0 where it is not."""
+"""Encodes a confirmed crash in records: the executor confirmed the start of the run. An
+unconfirmed crash is encoded as 0."""
 
 CERTAIN = 2
-"""The same where it was there at the fall for certain; to earlier versions it is the one above."""
+"""Encodes a certain crash in records: the run was still on the executor at the crash. Earlier
+versions read it as a confirmed crash."""
 
 
 class Crash(NamedTuple):
-    """An executor that crashed under a task.
+    """Crash of an executor that counts against a task.
 
     Attributes:
-        incarnation: Name of the life that ended.
-        run: Number of the task's run that was there.
-        score: What it counts.
-        confirmed: Whether the run is known to have been there: its start was answered, also to a
-            former owner that recorded this.
-        address: Where it was; empty where a former owner saw it.
-        certain: Whether the run cannot have ended before the fall, unheard.
+        incarnation: Name of the executor incarnation that crashed.
+        run: Number of the task's run on the executor.
+        score: Amount by which the crash raises the task's crash score.
+        confirmed: Whether the executor confirmed the start of the run, to this owner or to a
+            previous owner that recorded the confirmation.
+        address: Address of the executor; empty if a previous owner observed the crash.
+        certain: Whether the run was certainly still there at the crash, rather than possibly
+            ended before it without a report.
     """
 
     incarnation: str
@@ -33,11 +36,11 @@
 
     @property
     def certainty(self) -> int:
-        """How surely its run was there, as records hold it."""
+        """Level of certainty as encoded in records: 0, ``CONFIRMED`` or ``CERTAIN``."""
         if not self.confirmed:
             return 0
         return CERTAIN if self.certain else CONFIRMED
 
     def with_certainty(self, certainty: int) -> Crash:
-        """Return the crash with what a record holds of how surely its run was there."""
+        """Return the crash with a level of certainty as encoded in records."""
         return self._replace(confirmed=certainty >= CONFIRMED, certain=certainty >= CERTAIN)
--- a/src/linkspan/jobs/job_registry.py
+++ b/src/linkspan/jobs/job_registry.py
@@ -1,4 +1,4 @@
-"""A host's view of all jobs, and its way to add records to them."""
+"""View of all jobs on a host, kept current from the job records, and the writer of new records."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from linkspan.errors import InvalidInput, RecordError, StoreRefused, StoreUnanswered
 from linkspan.events import Event
 from linkspan.jobs.catalog import JobCatalog, JobEntry
-from linkspan.jobs.record_codec import decode, encode, key_sent_again
+from linkspan.jobs.record_codec import decode, encode, retry_key
 from linkspan.jobs.records import JobRecord, Submitted
 from linkspan.jobs.spec import check_job
 from linkspan.store.follower import Follower
@@ -23,16 +23,16 @@
     from linkspan.store.types import Entry, Store
 
 JOBS = Partition("jobs", keyed=True)
-"""All job records, in one order for all hosts."""
+"""Partition of all job records, which every host reads in the same order."""
 
-FRESH_S = 0.03
-"""Age up to which a view of the jobs counts as present: the store answers within
-7 to 15 ms, so a younger one would not be much different."""
+MAX_FRESH_AGE_S = 0.03
+"""Limits the age of a view of the jobs that counts as fresh, in seconds. The store answers
+within 7 to 15 ms, so a newer view would hardly differ."""
 
 
-REFRESH_S = 1.0
-"""Longest wait for a present view where the caller names no time, in seconds: a store
-that is well answers in a fiftieth of it, and who asks has executors' leases to renew."""
+MAX_REFRESH_WAIT_S = 1.0
+"""Limits the wait for a fresh view if the caller passes no limit, in seconds. A healthy store
+answers in a fiftieth of this time, and an owner that waits has executor leases to renew."""
 
 
 class JobRegistry:
@@ -40,8 +40,8 @@
 
     Args:
         store: The platform's store.
-        incarnation: Life of this process, the name of its writer.
-        log: Where events go.
+        incarnation: Incarnation of this process; part of the producer name of its writer.
+        log: Event log.
     """
 
     def __init__(self, store: Store, incarnation: str, log: EventLog) -> None:
@@ -49,7 +49,7 @@
         self._started = steady()
         self._listeners: list[Callable[[str], None]] = []
         self._changed: dict[str, None] = {}
-        self._unread: dict[str, int] = {}
+        self._unread_submissions: dict[str, int] = {}
         self.catalog = JobCatalog()
         self.follower = Follower(
             store,
@@ -67,19 +67,19 @@
             may_renumber=True,
             on_health=self._on_health,
             on_renumber=self._on_renumber,
-            rewrite=_sent_again,
+            rewrite=_for_retry,
         )
 
     def __repr__(self) -> str:
         return f"JobRegistry({self.catalog!r})"
 
     @property
-    def takes_writes(self) -> bool:
-        """Whether the store took the last record, or has answered since it did not."""
+    def accepts_writes(self) -> bool:
+        """Whether the last append succeeded, or the store has answered since it failed."""
         return self.writer.healthy or self.follower.last_response_at > self.writer.failed_at
 
     def subscribe(self, listener: Callable[[str], None]) -> Callable[[], None]:
-        """Call a listener with the id of each job that changes; return the way to end it."""
+        """Call a listener with the id of each changed job; return a function that unsubscribes."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
@@ -89,46 +89,48 @@
         return self.writer.write(rows, patient=patient)
 
     def knows(self, job_id: str) -> bool:
-        """Whether a job was accepted, by what was read or by this host itself."""
-        return job_id in self._unread or self.catalog.get(job_id) is not None
+        """Whether a job was accepted, by any host as far as read or by this host just now."""
+        return job_id in self._unread_submissions or self.catalog.get(job_id) is not None
 
     def note_accepted(self, job_id: str, offset: int) -> None:
-        """Know of a job that this host wrote, before its record is read back.
+        """Remember a job that this host wrote until its record is read back.
 
-        It enters the catalog when it is read: a record in front of it may name another
-        hall, and the first one counts.
+        The job enters the catalog only when the record is read: an earlier submission by
+        another host may assign the job to another hall, and the first submission counts.
         """
         if offset >= self.follower.offset:
-            self._unread[job_id] = offset
+            self._unread_submissions[job_id] = offset
 
     async def look_up(
-        self, job_id: str, *, limit_s: float = REFRESH_S
+        self, job_id: str, *, limit_s: float = MAX_REFRESH_WAIT_S
     ) -> tuple[JobEntry | None, bool]:
-        """Return a job as of now, and whether the view is fresh.
+        """Return the current state of a job, and whether the view is fresh.
 
-        A final state is shown without asking the store: it never changes. A job that is
-        not known is surely none only where the view is fresh.
+        Finished jobs are returned without a call to the store, since they never change. A
+        missing job is certain not to exist only if the view is fresh.
 
         Args:
             job_id: The job.
-            limit_s: Longest wait for a fresh view, in seconds.
+            limit_s: Maximum wait for a fresh view, in seconds.
         """
         entry = self.catalog.get(job_id)
         if entry and entry.finished:
             return entry, True
-        limit_s = min(limit_s, REFRESH_S) if entry else limit_s
-        fresh_s = 0.0 if job_id in self._unread else FRESH_S
+        limit_s = min(limit_s, MAX_REFRESH_WAIT_S) if entry else limit_s
+        fresh_s = 0.0 if job_id in self._unread_submissions else MAX_FRESH_AGE_S
         fresh = await self.refresh(fresh_s=fresh_s, limit_s=limit_s)
         return self.catalog.get(job_id), fresh
 
-    async def refresh(self, *, fresh_s: float = FRESH_S, limit_s: float = REFRESH_S) -> bool:
-        """Read to the present end of the records and return whether that was possible.
+    async def refresh(
+        self, *, fresh_s: float = MAX_FRESH_AGE_S, limit_s: float = MAX_REFRESH_WAIT_S
+    ) -> bool:
+        """Read to the current end of the records and return whether that succeeded in time.
 
-        The read goes on after the limit, for the next who asks.
+        The read continues after the limit, so that later calls benefit from it.
 
         Args:
-            fresh_s: Age in seconds under which what was read counts as present.
-            limit_s: Longest wait in seconds.
+            fresh_s: Age in seconds below which the view counts as fresh.
+            limit_s: Maximum wait in seconds.
         """
         if steady() - self.follower.synced_at < fresh_s:
             return True
@@ -152,8 +154,8 @@
             job_of_key[entry.key] = job_id if entry.value else None
             if job_id:
                 self._changed[job_id] = None
-        held = (job_id for job_id in job_of_key.values() if job_id)
-        forgotten = self.catalog.retain(held, before=end)
+        stored = (job_id for job_id in job_of_key.values() if job_id)
+        forgotten = self.catalog.retain(stored, before=end)
         self._log.write(
             Event.RECORDS_LISTED,
             partition=JOBS.topic,
@@ -165,13 +167,15 @@
         )
 
     def _on_caught_up(self) -> None:
-        """Tell of what changed, once all that was written by now is known.
+        """Notify the listeners of changed jobs once the records are read to their end.
 
-        Told record by record, a listener would act on jobs that have moved or ended
-        in a later record of the same read.
+        If listeners were notified after each record, they would act on jobs that a later
+        record of the same read moves or finishes.
         """
-        read = self.follower.offset
-        self._unread = {j: offset for j, offset in self._unread.items() if offset >= read}
+        next_offset = self.follower.offset
+        self._unread_submissions = {
+            j: offset for j, offset in self._unread_submissions.items() if offset >= next_offset
+        }
         changed, self._changed = self._changed, {}
         for job_id in changed:
             self._notify(job_id)
@@ -198,8 +202,8 @@
         self._log.write(event, partition=JOBS.topic)
 
 
-def _sent_again(record: Record, unanswered: int) -> Record:
+def _for_retry(record: Record, unanswered: int) -> Record:
     if not record.value:
-        # It removes a record under the key that this was written under.
+        # A tombstone must keep the key of the record that it removes.
         return record
-    return record._replace(key=key_sent_again(record.key, unanswered))
+    return record._replace(key=retry_key(record.key, unanswered))
--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -1,6 +1,6 @@
-"""How records of jobs stand in the store: a key and a value for each.
+"""Encodes job records as key-value pairs of the store, and decodes them.
 
-Records of earlier versions are read, and what later ones tell behind it is passed over.
+The decoder accepts records of earlier versions and ignores trailing fields of later ones.
 """
 
 from __future__ import annotations
@@ -32,14 +32,16 @@
 
 
 def encode(record: JobRecord) -> tuple[bytes, bytes]:
-    """Return the key and the value of a record; an empty value drops the key."""
+    """Return the key and the value of a record; an empty value removes the key."""
     if isinstance(record, Submitted):
-        return f"s:{record.spec.job_id}:{record.host}".encode(), _submitted(record)
+        return f"s:{record.spec.job_id}:{record.host}".encode(), _submission_value(record)
     if isinstance(record, Moved):
         return f"m:{record.job_id}".encode(), orjson.dumps(record.shard)
     if isinstance(record, Delegated | Returned):
         kind = "l" if isinstance(record, Delegated) else "r"
-        delegations = orjson.dumps([_loan_row(delegation) for delegation in record.delegations])
+        delegations = orjson.dumps(
+            [_delegation_row(delegation) for delegation in record.delegations]
+        )
         return f"{kind}:{record.job_id}:{record.shard}".encode(), delegations
     if isinstance(record, Cancelled):
         return f"c:{record.job_id}".encode(), b"1"
@@ -52,15 +54,16 @@
     return (f"{key}:{record.part}" if record.part else key).encode(), b""
 
 
-def key_sent_again(key: bytes, unanswered: int) -> bytes:
-    """Return the key of a record that is sent again.
+def retry_key(key: bytes, unanswered: int) -> bytes:
+    """Return the key under which to retry a record.
 
-    A submission gets another one: under the same key it would hide what was written
-    first, which may stand in front of another host's submission, from all who list keys.
+    A submission gets a new key. The unanswered append may be in the log, in front of another
+    host's submission; a retry under the same key would hide it from readers that start with the
+    newest record of each key.
 
     Args:
-        key: The record's key.
-        unanswered: How often it was sent before.
+        key: Key of the record.
+        unanswered: Number of earlier appends of the record that were not answered.
     """
     if not unanswered or not key.startswith(b"s:"):
         return key
@@ -71,13 +74,13 @@
     """Return the record of a key and a value.
 
     Raises:
-        RecordError: They are no record of a job.
+        RecordError: The key and value do not form a valid job record.
     """
     try:
         kind, job_id, *rest = key.decode().split(":", 2)
         part = rest[0] if rest else ""
         if not value:
-            return _dropped(kind, job_id, part)
+            return _tombstone_from(kind, job_id, part)
         decoder = _DECODERS.get(kind)
         if decoder:
             return decoder(job_id, part, orjson.loads(value))
@@ -86,13 +89,13 @@
     raise RecordError(f"job record {key!r:.90}: unknown kind")
 
 
-def _dropped(kind: str, job_id: str, part: str) -> Tombstone:
-    if kind in _OF_SHARDS:
+def _tombstone_from(kind: str, job_id: str, part: str) -> Tombstone:
+    if kind in _KINDS_WITH_SHARD:
         int(part)
     return Tombstone(kind, job_id, part)
 
 
-def _submitted(record: Submitted) -> bytes:
+def _submission_value(record: Submitted) -> bytes:
     spec = record.spec
     fields: dict[str, Any] = {
         "id": spec.job_id,
@@ -112,18 +115,18 @@
 
 
 def _terms_row(terms: QueueTerms) -> list[Any]:
-    """Return the terms of a job's queue; the policy is left out where there is none."""
+    """Return the fields of a queue's terms; the placement policy is omitted if there is none."""
     row = [terms.service, terms.max_attempts, terms.priority, terms.stretch, terms.target_s]
     return [*row, terms.advice.valid_s] if terms.advice else row
 
 
 def _terms_from(row: list[Any]) -> QueueTerms:
-    # Later versions may tell more behind it.
-    service, most, priority, stretch, target_s, *more = row
+    # Later versions may append fields.
+    service, max_attempts, priority, stretch, target_s, *more = row
     advice = AdviceRule(parse_number(more[0])) if more and more[0] is not None else None
     return QueueTerms(
         parse_text(service),
-        parse_int(most),
+        parse_int(max_attempts),
         parse_int(priority),
         parse_number(stretch),
         parse_number(target_s),
@@ -139,7 +142,7 @@
 
 
 def _step_fields(step: StepSpec) -> dict[str, Any]:
-    # Defaults are left out: most steps set three fields of seventeen.
+    # Omits default values: most steps set three of sixteen fields.
     demand = step.demand
     fields: dict[str, Any] = {
         "count": step.count,
@@ -152,7 +155,7 @@
     return fields
 
 
-def _submitted_from(value: Any, host: str) -> Submitted:
+def _submission_from(value: Any, host: str) -> Submitted:
     fields = parse_object(value)
     schedule = fields.get("schedule")
     spec = JobSpec(
@@ -173,41 +176,41 @@
     return Schedule(parse_int(fields["count"]), first, interval)
 
 
-def _flag(value: Any) -> bool:
+def _parse_bool(value: Any) -> bool:
     if not isinstance(value, bool):
-        raise TypeError(f"{value!r:.60} is neither true nor false")
+        raise TypeError(f"{value!r:.60} is not a boolean")
     return value
 
 
-def _indexes(value: Any) -> tuple[int, ...]:
+def _parse_indexes(value: Any) -> tuple[int, ...]:
     return tuple(parse_int(index) for index in parse_list(value))
 
 
-def _budget(value: Any) -> int | None:
+def _parse_optional_int(value: Any) -> int | None:
     return None if value is None else parse_int(value)
 
 
-_STEP_READERS: dict[str, Callable[[Any], Any]] = {
+_STEP_PARSERS: dict[str, Callable[[Any], Any]] = {
     "estimate_s": parse_number,
-    "depends_on": _indexes,
+    "depends_on": _parse_indexes,
     "label": parse_text,
     "data_rack": parse_text,
     "max_per_executor": parse_int,
-    "disruption_budget": _budget,
+    "disruption_budget": _parse_optional_int,
     "image": parse_text,
     "latency_target_ms": parse_number,
 }
-"""How fields of a step are read that are no flags."""
+"""Parsers of the fields of a step that are not booleans."""
 
 
 def _step_field(name: str, value: Any) -> Any:
-    reader: Callable[[Any], Any] = _STEP_READERS.get(name, _flag)
-    return reader(value)
+    parser: Callable[[Any], Any] = _STEP_PARSERS.get(name, _parse_bool)
+    return parser(value)
 
 
 def _step_from(fields: dict[str, Any]) -> StepSpec:
     known = {name: _step_field(name, fields[name]) for name in _STEP_DEFAULTS if name in fields}
-    # Later versions may tell more behind what this one knows, here and below.
+    # Later versions may append fields, here and below.
     milli_cpu, memory_mb, gpus, *_ = (parse_int(size) for size in parse_list(fields["demand"]))
     return StepSpec(
         count=parse_int(fields["count"]), demand=Demand(milli_cpu, memory_mb, gpus), **known
@@ -221,46 +224,51 @@
     )
 
 
-def _loans_from(fields: Any) -> tuple[Delegation, ...]:
-    return tuple(_loan_from(parse_list(row)) for row in parse_list(fields))
+def _delegations_from(fields: Any) -> tuple[Delegation, ...]:
+    return tuple(_delegation_from(parse_list(row)) for row in parse_list(fields))
+
 
+def _delegation_from(row: list[Any]) -> Delegation:
+    """Parse a delegation.
 
-def _loan_from(row: list[Any]) -> Delegation:
-    """Return a loan; earlier versions tell nothing of crashes, later ones may tell more."""
-    step, index, number_, crashes, points, *more = [*row, 0, 0][: max(len(row), 5)]
-    named = tuple(
-        Crash(parse_text(incarnation), parse_int(run), parse_int(counts)).with_certainty(
-            parse_int(known)
+    Rows of earlier versions contain no crash history; those of later versions may append fields.
+    """
+    step, index, number, crash_count, crash_score, *more = [*row, 0, 0][: max(len(row), 5)]
+    identified = tuple(
+        Crash(parse_text(incarnation), parse_int(run), parse_int(score)).with_certainty(
+            parse_int(certainty)
         )
-        for incarnation, run, counts, known, *_ in map(
+        for incarnation, run, score, certainty, *_ in map(
             parse_list, parse_list(more[0]) if more else ()
         )
     )
-    name = parse_int(step), parse_int(index), parse_int(number_)
-    return Delegation(*name, parse_int(crashes), parse_int(points), named)
+    identity = parse_int(step), parse_int(index), parse_int(number)
+    return Delegation(*identity, parse_int(crash_count), parse_int(crash_score), identified)
 
 
-def _loan_row(delegation: Delegation) -> list[Any]:
-    """Return a loan's fields; those of crashes are left out where there were none."""
+def _delegation_row(delegation: Delegation) -> list[Any]:
+    """Return the fields of a delegation; the crash history is omitted if there is none."""
     crashes = [delegation.crash_count, delegation.crash_score] if delegation.crash_count else []
-    named = [[c.incarnation, c.run, c.score, c.certainty] for c in delegation.identified_crashes]
+    identified = [
+        [c.incarnation, c.run, c.score, c.certainty] for c in delegation.identified_crashes
+    ]
     return [
         delegation.step,
         delegation.index,
         delegation.number,
         *crashes,
-        *([named] if named else []),
+        *([identified] if identified else []),
     ]
 
 
-_OF_SHARDS = frozenset(("l", "r"))
-"""Kinds of keys that end with the number of another shard."""
+_KINDS_WITH_SHARD = frozenset(("l", "r"))
+"""Kinds of keys that end with the number of the shard that tasks were delegated to."""
 
 _DECODERS: dict[str, Callable[[str, str, Any], JobRecord]] = {
-    "s": lambda _job_id, host, fields: _submitted_from(fields, host),
+    "s": lambda _job_id, host, fields: _submission_from(fields, host),
     "m": lambda job_id, _part, shard: Moved(job_id, parse_int(shard)),
-    "l": lambda job_id, shard, fields: Delegated(job_id, int(shard), _loans_from(fields)),
-    "r": lambda job_id, shard, fields: Returned(job_id, int(shard), _loans_from(fields)),
+    "l": lambda job_id, shard, fields: Delegated(job_id, int(shard), _delegations_from(fields)),
+    "r": lambda job_id, shard, fields: Returned(job_id, int(shard), _delegations_from(fields)),
     "c": lambda job_id, _part, _fields: Cancelled(job_id),
     "b": lambda job_id, _part, _fields: Begun(job_id),
     "f": _finished_from,
--- a/src/linkspan/jobs/records.py
+++ b/src/linkspan/jobs/records.py
@@ -1,8 +1,8 @@
-"""Records of jobs in the store: submitted, moved, lent, returned, cancelled, begun, finished.
+"""Types of the job records in the store.
 
-Each is a keyed record, so that the newest of each key outlasts the log's
-retention. Several hosts may accept one job; each writes a key of its own and the
-lowest offset decides, so that all readers agree on the job's shard.
+All job records are keyed, so the newest record of each key outlasts the log's retention.
+Several hosts may accept the same job. Each host then writes a submission under its own key, and
+the submission with the lowest offset counts, so all readers agree on the job's shard.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class JobState(Enum):
-    """States of a job as callers see them."""
+    """State of a job as callers see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -28,7 +28,7 @@
 
     @property
     def final(self) -> bool:
-        """Whether the state never changes again."""
+        """Whether no further state follows."""
         return self in _FINAL
 
 
@@ -42,11 +42,11 @@
     Attributes:
         spec: The job.
         shard: Number of the shard that runs it.
-        accepted_at: Time of day at the accepting host, in seconds since 1970.
-        host: Life of the accepting host's process, and which sending of its record this
-            is: each writes a key of its own.
-        terms: What it was accepted under; ``None`` in records of earlier versions.
-        version: Version of the configuration that tells these, as far as it is known.
+        accepted_at: Wall-clock time of the accepting host, in seconds since 1970.
+        host: Incarnation of the accepting host process, followed by the number of the retry if
+            the record was sent again. Each host and each retry writes its own key.
+        terms: Terms of the queue at acceptance; ``None`` in records of earlier versions.
+        version: Version of the configuration that defines the terms, ``None`` if unknown.
     """
 
     spec: JobSpec
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """A job of which nothing was started lives in another shard from here on."""
+    """A job with no started task was moved to another shard."""
 
     job_id: str
     shard: int
@@ -67,16 +67,18 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Delegation:
-    """One handing of a standing task to another shard.
+    """One delegation of a standing task to another shard.
+
+    The step, index and number identify a delegation. The crash history is carried along so that
+    the limit on crashes under a task holds across halls; it does not take part in comparisons.
 
     Attributes:
-        step: Number of the step.
-        index: Number of the task in the step.
-        number: Counts the loans of this task, from 1.
-        crash_count: Executors that had crashed under it when it was lent, or given back; what it
-            may still take down is bounded over all halls. No part of what names the loan.
-        crash_score: What these count.
-        identified_crashes: Those of the crashes that are known by name.
+        step: Index of the step in the job.
+        index: Index of the task in the step.
+        number: Sequence number of the delegation among those of this task, from 1.
+        crash_count: Executors that had crashed under the task when it was delegated or returned.
+        crash_score: Score of these crashes.
+        identified_crashes: Those crashes whose executor incarnation is known.
     """
 
     step: int
@@ -89,12 +91,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Delegated:
-    """Standing tasks of a job are looked after by another shard from here on.
+    """Standing tasks of a job were delegated to another shard.
 
     Attributes:
         job_id: The job.
-        shard: The other shard.
-        delegations: All loans to it that were not returned.
+        shard: The shard that runs the tasks.
+        delegations: All delegations to the shard that were not returned.
     """
 
     job_id: str
@@ -104,12 +106,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Returned:
-    """Loans that the other shard gave back, since it had no room.
+    """Delegated tasks were returned by a shard that lacks the capacity to run them.
 
     Attributes:
         job_id: The job.
-        shard: The other shard.
-        delegations: All loans that it gave back.
+        shard: The shard that returned the tasks.
+        delegations: All delegations that the shard returned.
     """
 
     job_id: str
@@ -126,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begun:
-    """A job's first task was started."""
+    """The first task of a job was started."""
 
     job_id: str
 
@@ -138,9 +140,9 @@
     Attributes:
         job_id: The job.
         state: The final state.
-        shard: Shard that ran it, whose owner prunes the record in the end.
-        at: Time of day of the owner, in seconds since 1970.
-        queue: The job's queue.
+        shard: Shard that ran the job; its owner removes the record eventually.
+        at: Wall-clock time of the owner, in seconds since 1970.
+        queue: Name of the job's queue.
     """
 
     job_id: str
@@ -152,13 +154,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Tombstone:
-    """A key's record is no longer needed.
+    """Removal of a key.
 
     Attributes:
         kind: First letter of the key: ``s``, ``m``, ``l``, ``r``, ``c``, ``b`` or ``f``.
         job_id: The job.
-        part: Rest of the key: the accepting host of a submission, the other shard
-            of a loan.
+        part: Rest of the key: the accepting host of a submission, or the shard that tasks were
+            delegated to.
     """
 
     kind: str
--- a/src/linkspan/jobs/spec.py
+++ b/src/linkspan/jobs/spec.py
@@ -1,4 +1,4 @@
-"""What a caller asks for: a job as a graph of steps of equal tasks."""
+"""Specification of a job: a graph of steps, each consisting of identical tasks."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
     from collections.abc import Sequence
 
 MAX_TASKS = 10_000
-"""Most tasks of one job; above it one job could outgrow a store record."""
+"""Limits the tasks of one job: records of larger jobs could exceed the store's record size."""
 
 MAX_REPEATED_TASKS = 30_000
-"""Most tasks of all repetitions of a job. An owner holds each from the start, in 580 bytes,
-or 1,280 where each repetition has one: 38 MB, a fifth of the smallest host's memory."""
+"""Limits the tasks of all repetitions of a job together. An owner keeps every task in memory
+from the start, at 580 bytes each, or 1,280 bytes if each repetition consists of one task. That
+is up to 38 MB, a fifth of the memory of the smallest host."""
 
-MAX_SIZE = 2**31
-"""Largest size that a task may ask for, in thousandths of a core or megabytes: sums over
-a whole hall stay within the 64 bits of a record's numbers."""
+MAX_RESOURCE_AMOUNT = 2**31
+"""Limits each resource of a task's demand, in thousandths of a core, megabytes or GPUs, so that
+sums over a whole hall fit into the 64-bit numbers of a record."""
 
-MAX_TIME_S = 1e9
-"""Longest estimate and latest due time after one another, in seconds: thirty years."""
+MAX_DURATION_S = 1e9
+"""Limits estimates and intervals between repetitions, in seconds: thirty years."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Room that one task takes.
+    """Resources that one task needs.
 
     Attributes:
-        milli_cpu: Processor share in thousandths of a core.
+        milli_cpu: CPU share in thousandths of a core.
         memory_mb: Memory in megabytes.
-        gpus: Accelerators.
+        gpus: Number of accelerators.
     """
 
     milli_cpu: int = 0
@@ -40,7 +41,7 @@
     gpus: int = 0
 
     def union(self, other: Demand) -> Demand:
-        """Return the least room that holds either.
+        """Return the smallest demand that covers both this demand and another one.
 
         Example:
             >>> Demand(2_000, 100).union(Demand(1_000, 200))
@@ -55,26 +56,26 @@
 
 @dataclass(frozen=True)
 class StepSpec:
-    """One step: a number of equal tasks.
+    """One step: a number of identical tasks.
 
     Attributes:
         count: Number of tasks.
-        demand: Room that each task takes.
-        estimate_s: Caller's rough guess of one task's running time.
-        depends_on: Indexes of earlier steps that must be done first.
-        label: Label that an executor must carry; empty for any.
-        data_rack: Rack label where the step's data lies; empty for anywhere.
-        max_per_executor: Most tasks of the step on one executor; 0 for no limit.
-        gang: Whether the tasks only run all together.
-        one_rack: Whether the tasks run faster inside one rack.
-        speculative: Whether copies of a task may run side by side.
-        standing: Whether tasks run until the job is cancelled.
-        disruption_budget: Standing tasks that may be away at once by our doing;
-            ``None`` where the caller set no budget.
-        best_effort: Whether the tasks run in processor time that others leave,
-            so that their processor demand is not reserved.
-        image: What the tasks run; tasks of one image behave alike.
-        latency_target_ms: Tail latency that standing tasks are to stay under, 0 for none.
+        demand: Resources that each task needs.
+        estimate_s: Caller's estimate of the duration of one task, in seconds.
+        depends_on: Indexes of earlier steps that must finish first.
+        label: Label that an executor must have; empty for any executor.
+        data_rack: Label of the rack that stores the step's data; empty for any rack.
+        max_per_executor: Maximum tasks of the step on one executor; 0 for no limit.
+        gang: Whether the tasks are started all together or not at all.
+        one_rack: Whether the tasks run faster within one rack.
+        speculative: Whether speculative copies of a task may run concurrently.
+        standing: Whether the tasks run until the job is cancelled.
+        disruption_budget: Maximum standing tasks that the scheduler may interrupt at the same
+            time; ``None`` if the caller set no budget.
+        best_effort: Whether the tasks run on CPU time that other tasks leave unused, so that no
+            CPU is reserved for them.
+        image: Image that the tasks run; tasks with the same image behave alike.
+        latency_target_ms: Target for the tail latency of standing tasks, 0 for none.
         checkpoints: Whether the tasks save their progress.
     """
 
@@ -98,12 +99,12 @@
 
 @dataclass(frozen=True)
 class Schedule:
-    """Repetition of a job.
+    """Schedule of a repeated job.
 
     Attributes:
-        count: How often the steps run.
+        count: Number of repetitions.
         first_s: Due time of the first repetition, in seconds since 1970.
-        interval_s: Time between due times.
+        interval_s: Time between due times, in seconds.
     """
 
     count: int
@@ -111,7 +112,7 @@
     interval_s: float
 
     def due(self, repetition: int) -> float:
-        """Return when a repetition is due, in seconds since 1970."""
+        """Return the due time of a repetition, in seconds since 1970."""
         return self.first_s + repetition * self.interval_s
 
 
@@ -120,11 +121,11 @@
     """A job as a caller submitted it.
 
     Attributes:
-        job_id: The caller's id of the job.
-        queue: Name of the queue that it was submitted to.
-        payload: Text that every task gets.
+        job_id: Id that the caller chose.
+        queue: Name of the queue that the job was submitted to.
+        payload: Text that is passed to every task.
         steps: Steps in the caller's order.
-        schedule: Repetition, or ``None`` for a job that runs once, at once.
+        schedule: Schedule of a repeated job, ``None`` for a job that runs once, immediately.
     """
 
     job_id: str
@@ -133,47 +134,47 @@
     steps: tuple[StepSpec, ...]
     schedule: Schedule | None = None
 
-    def longest_paths_to(self, lengths: Sequence[float]) -> tuple[float, ...]:
-        """Return, for each step, the time of the longest chain that ends with it.
+    def longest_paths_to(self, durations_s: Sequence[float]) -> tuple[float, ...]:
+        """Return the duration of the longest path that ends with each step, the step included.
 
         Args:
-            lengths: Times of the steps, in seconds.
+            durations_s: Durations of the steps, in seconds.
         """
-        ends: list[float] = []
-        for step, length in zip(self.steps, lengths, strict=True):
-            before = max((ends[index] for index in step.depends_on), default=0.0)
-            ends.append(before + length)
-        return tuple(ends)
+        totals: list[float] = []
+        for step, duration_s in zip(self.steps, durations_s, strict=True):
+            before = max((totals[index] for index in step.depends_on), default=0.0)
+            totals.append(before + duration_s)
+        return tuple(totals)
 
-    def longest_paths_from(self, lengths: Sequence[float]) -> tuple[float, ...]:
-        """Return, for each step, the time of the longest chain that begins with it.
+    def longest_paths_from(self, durations_s: Sequence[float]) -> tuple[float, ...]:
+        """Return the duration of the longest path that starts with each step, the step included.
 
         Args:
-            lengths: Times of the steps, in seconds.
+            durations_s: Durations of the steps, in seconds.
         """
         totals = [0.0] * len(self.steps)
         for index in reversed(range(len(self.steps))):
-            totals[index] += lengths[index]
+            totals[index] += durations_s[index]
             for earlier in self.steps[index].depends_on:
                 totals[earlier] = max(totals[earlier], totals[index])
         return tuple(totals)
 
     @property
     def standing(self) -> bool:
-        """Whether a step of the job lasts until it is cancelled."""
+        """Whether any step of the job runs until the job is cancelled."""
         return any(step.standing for step in self.steps)
 
     @property
     def repetitions(self) -> int:
-        """How often the steps run."""
+        """Number of times that the steps run."""
         return self.schedule.count if self.schedule else 1
 
 
 def check_job(spec: JobSpec) -> None:
-    """Check what the types alone do not guarantee.
+    """Check the constraints that the types do not express.
 
     Raises:
-        InvalidInput: A field is out of bounds or a dependency is no earlier step.
+        InvalidInput: A field is out of range, or a step depends on a step that is not earlier.
     """
     if not spec.steps:
         raise InvalidInput("steps", "empty", "give at least one step")
@@ -190,8 +191,8 @@
     if not 1 <= schedule.count <= MAX_REPEATED_TASKS // tasks:
         problem = f"{schedule.count} times {tasks} tasks"
         raise InvalidInput("schedule", problem, f"give {MAX_REPEATED_TASKS} tasks at most")
-    if not 0 <= schedule.interval_s <= MAX_TIME_S:
-        raise InvalidInput("schedule", "interval", f"give 0 to {MAX_TIME_S:.0f} s")
+    if not 0 <= schedule.interval_s <= MAX_DURATION_S:
+        raise InvalidInput("schedule", "interval", f"give 0 to {MAX_DURATION_S:.0f} s")
 
 
 def _check_step(index: int, step: StepSpec) -> None:
@@ -201,9 +202,9 @@
     demand = step.demand
     if min(demand.milli_cpu, demand.memory_mb, demand.gpus, step.estimate_s) < 0:
         raise InvalidInput(path, "negative size or estimate", "give 0 or more")
-    if max(demand.milli_cpu, demand.memory_mb, demand.gpus) > MAX_SIZE:
-        raise InvalidInput(path, "size", f"give {MAX_SIZE} at most")
-    if step.estimate_s > MAX_TIME_S:
-        raise InvalidInput(path, "estimate", f"give {MAX_TIME_S:.0f} s at most")
+    if max(demand.milli_cpu, demand.memory_mb, demand.gpus) > MAX_RESOURCE_AMOUNT:
+        raise InvalidInput(path, "size", f"give {MAX_RESOURCE_AMOUNT} at most")
+    if step.estimate_s > MAX_DURATION_S:
+        raise InvalidInput(path, "estimate", f"give {MAX_DURATION_S:.0f} s at most")
     if any(not 0 <= earlier < index for earlier in step.depends_on):
         raise InvalidInput(f"{path}/depends_on", "no earlier step", "name earlier steps only")
