--- a/src/linkspan/host/candidate.py
+++ b/src/linkspan/host/candidate.py
@@ -106,7 +106,7 @@
             on_health=self._on_health,
             on_missed=lambda: self._view.miss(steady()),
             pause_s=0.0 if home else REMOTE_WATCH_S,
-            most_past=PAST_RECORDS,
+            max_past_records=PAST_RECORDS,
         )
         self._follower.wait_s = HOME_WATCH_S if home else 0.0
         self._tenure: Tenure | None = None
--- a/src/linkspan/host/front.py
+++ b/src/linkspan/host/front.py
@@ -220,7 +220,7 @@
         shard = self._choose_shard(spec, queue)
         version = self._version_of(queue)
         record = Submitted(spec, shard, time.time(), self._incarnation, queue.terms, version)
-        write = self._job_registry.write([record], patient=False)
+        write = self._job_registry.write([record], retry_refused=False)
         self._submitting[spec.job_id] = write
         write.add_done_callback(lambda done: self._on_written(spec.job_id, done))
         return write
--- a/src/linkspan/jobs/job_registry.py
+++ b/src/linkspan/jobs/job_registry.py
@@ -83,10 +83,12 @@
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
-    def write(self, records: Sequence[JobRecord], *, patient: bool = True) -> asyncio.Future[int]:
+    def write(
+        self, records: Sequence[JobRecord], *, retry_refused: bool = True
+    ) -> asyncio.Future[int]:
         """Queue job records; see :meth:`GroupWriter.write`."""
         rows = [Record(value, key) for key, value in map(encode, records)]
-        return self.writer.write(rows, patient=patient)
+        return self.writer.write(rows, retry_refused=retry_refused)
 
     def knows(self, job_id: str) -> bool:
         """Whether a job was accepted, by any host as far as read or by this host just now."""
--- a/src/linkspan/store/__init__.py
+++ b/src/linkspan/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's log as the product uses it: partitions, appends, tails."""
+"""Access to the platform's log store: exactly-once appends, followers and key snapshots."""
--- a/src/linkspan/store/follower.py
+++ b/src/linkspan/store/follower.py
@@ -1,4 +1,4 @@
-"""Following a partition: every record once, in order, over gaps and outages."""
+"""Follows a partition and delivers each record once and in order, across gaps and outages."""
 
 from __future__ import annotations
 
@@ -14,36 +14,35 @@
 
     from linkspan.store.types import Entry, Page, Partition, Store
 
-WAIT_S = 2.0
-"""How long one read waits for a record. Well under the 30 s that the store allows: a
-connection that a cut silenced is found within seconds, and so is a record that a slow
-store took in while the read was on its way."""
+READ_WAIT_S = 2.0
+"""Time that one read waits for a new record, in seconds. It is far below the 30 s that the
+store allows, so that a connection silenced by a network cut is detected within seconds, and so
+is a record that a slow store accepted while the read was in transit."""
 
 RETRY_S = 0.15
-"""First pause after a failed read, in seconds; doubled up to the next."""
+"""Initial backoff after a failed read, in seconds; it doubles up to ``MAX_RETRY_S``."""
 
 MAX_RETRY_S = 0.6
-"""Longest pause between reads: a configuration is to be in force within two
-seconds, also where the store has just come back."""
+"""Limits the backoff between reads, in seconds: a configuration must be in force within two
+seconds, also right after a store outage."""
 
 
 class Follower:
-    """Reads a partition from its newest keys or its oldest record on.
+    """Reader that follows a partition, starting with a snapshot of its keys or its oldest record.
 
     Args:
-        store: Where to read.
+        store: Store to read from.
         partition: Partition to follow.
-        on_entries: Takes entries in order; called with no await between reads.
-        on_reset: For keyed partitions, takes the newest record of each key as of an
-            offset, and that offset, at the start and after a gap. Records come in order;
-            those of keys that changed or were dropped while the others were read are
-            among them.
-        pause_s: Least time between two reads, to save calls.
+        on_entries: Called with new entries, in order, synchronously after each read.
+        on_reset: For keyed partitions, called at the start and after a gap with a snapshot of
+            the keys and the offset of the snapshot. The entries come in order. They may include
+            older records of keys that changed or were removed while the snapshot was read.
+        pause_s: Minimum time between two reads, to save calls.
         on_health: Called with whether the store answers, at each change.
-        on_caught_up: Called after each read behind which nothing was written yet.
-        on_missed: Called when records went that were not read; for partitions without keys.
-        most_past: Most records of the past to begin with, ``None`` to begin with the
-            first that the store holds.
+        on_caught_up: Called after each read that reached the end of the partition.
+        on_missed: Called when records expired before they were read; for partitions without keys.
+        max_past_records: Maximum number of existing records to start with, ``None`` to start with
+            the oldest record in the store.
     """
 
     def __init__(
@@ -57,7 +56,7 @@
         on_missed: Callable[[], None] = lambda: None,
         pause_s: float = 0.0,
         on_health: Callable[[bool], None] = lambda _healthy: None,
-        most_past: int | None = None,
+        max_past_records: int | None = None,
     ) -> None:
         self._store = store
         self._partition = partition
@@ -66,74 +65,75 @@
         self._on_health = on_health
         self._on_caught_up = on_caught_up
         self._on_missed = on_missed
-        self._most_past = most_past
+        self._max_past_records = max_past_records
         self._offset = -1
         self._end = 0
-        self._unlisted = on_reset is not None
+        self._needs_snapshot = on_reset is not None
         self._synced_at = float("-inf")
-        self._heard_at = float("-inf")
+        self._last_response_at = float("-inf")
         self._healthy = True
         self._ready = asyncio.Event()
-        self._wanted = asyncio.Event()
-        self._wanted.set()
-        self._listing = KeyedSnapshot(store, partition)
+        self._resumed = asyncio.Event()
+        self._resumed.set()
+        self._snapshot = KeyedSnapshot(store, partition)
         self._reading: asyncio.Task[None] | None = None
         self.pause_s = pause_s
-        self.wait_s = WAIT_S
+        self.wait_s = READ_WAIT_S
 
     def __repr__(self) -> str:
         return f"Follower({self._partition}, offset={self._offset})"
 
     @property
     def offset(self) -> int:
-        """Offset of the next record; below 0 before the first read."""
+        """Offset of the next record to read; negative before the first read."""
         return self._offset
 
     @property
     def synced_at(self) -> float:
-        """Steady time at which nothing newer was known to the store."""
+        """Steady time as of which all records in the store have been read."""
         return self._synced_at
 
     @property
     def last_response_at(self) -> float:
-        """Steady time of the store's last answer."""
-        return self._heard_at
+        """Steady time of the store's last answer to a read."""
+        return self._last_response_at
 
     @property
     def ready(self) -> bool:
-        """Whether the partition was read to its end once."""
+        """Whether the partition has been read to its end, since the last resume if any."""
         return self._ready.is_set()
 
     def pause(self) -> None:
-        """Read nothing until resumed, but for what is under way or asked for by others."""
-        self._wanted.clear()
+        """Stop reading until resumed, except for a read in progress and calls of :meth:`sync`."""
+        self._resumed.clear()
 
     def resume(self) -> None:
         """End a pause; for keyed partitions only.
 
-        What came meanwhile may be long, so the newest keys are read instead.
+        Many records may have been written meanwhile, so the follower reads a new snapshot of the
+        keys instead.
         """
         self._ready.clear()
-        self._unlisted = True
-        self._wanted.set()
+        self._needs_snapshot = True
+        self._resumed.set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        pause = RETRY_S
+        """Follow the partition until cancelled."""
+        backoff_s = RETRY_S
         try:
             while True:
-                await self._wanted.wait()
+                await self._resumed.wait()
                 offset = self._offset
                 try:
                     await self._follow()
                 except (StoreRefused, StoreUnanswered):
                     self._set_health(False)
-                    await asyncio.sleep(pause)
-                    pause = min(2 * pause, MAX_RETRY_S)
+                    await asyncio.sleep(backoff_s)
+                    backoff_s = min(2 * backoff_s, MAX_RETRY_S)
                     continue
                 self._set_health(True)
-                pause = RETRY_S
-                if not self._behind:
+                backoff_s = RETRY_S
+                if not self._has_unread:
                     await asyncio.sleep(self.pause_s)
                 elif self._offset == offset:
                     await asyncio.sleep(RETRY_S)
@@ -142,83 +142,87 @@
                 self._reading.cancel()
 
     async def sync(self) -> None:
-        """Read up to the present end; all who ask at one time share the reads.
+        """Read up to the current end of the partition; concurrent callers share the reads.
 
         Raises:
-            StoreRefused: The store answers with a refusal.
-            StoreUnanswered: The store does not answer.
+            StoreRefused: The store refused a read.
+            StoreUnanswered: The store did not answer.
         """
-        asked = steady()
-        # One read returns a bounded part of what there is, and may have begun before.
-        while self._synced_at < asked:
+        asked_at = steady()
+        # A read returns a limited number of bytes, and a shared read may have begun earlier.
+        while self._synced_at < asked_at:
             await self._share_read()
 
     @property
-    def _behind(self) -> bool:
-        return self._unlisted or not self.ready or self._offset < self._end
+    def _has_unread(self) -> bool:
+        return self._needs_snapshot or not self.ready or self._offset < self._end
 
     async def _follow(self) -> None:
-        if self._behind:
+        if self._has_unread:
             await self._share_read()
         else:
             await self._read_records(self.wait_s)
 
     async def _share_read(self) -> None:
-        """Wait for the read that is under way, or begin one.
+        """Wait for the read in progress, or begin one.
 
-        It goes on when one who waits for it leaves.
+        The read continues if a caller that waits for it is cancelled.
         """
         reading = self._reading
         if reading is None or reading.done():
             reading = self._reading = asyncio.create_task(self._read())
-            reading.add_done_callback(_note_failure)
+            reading.add_done_callback(_retrieve_exception)
         try:
             await asyncio.shield(reading)
         except asyncio.CancelledError:
             own = asyncio.current_task()
             if reading.cancelled() and own and not own.cancelling():
-                raise StoreUnanswered("reading has ended; ask another host") from None
+                raise StoreUnanswered("follower was stopped; ask another host") from None
             raise
 
     async def _read(self) -> None:
-        if self._unlisted:
-            await self._list()
+        if self._needs_snapshot:
+            await self._read_snapshot()
         else:
             await self._read_records(0.0)
 
     async def _read_records(self, wait_s: float) -> None:
-        if self._offset < 0 and self._most_past is not None:
-            self._offset = max(await self._find_end() - self._most_past, 0)
-        asked = steady()
+        if self._offset < 0 and self._max_past_records is not None:
+            self._offset = max(await self._find_end() - self._max_past_records, 0)
+        asked_at = steady()
         try:
             page = await self._store.read(self._partition, max(self._offset, 0), wait_s=wait_s)
         except LogGap as gap:
             self._on_gap(gap)
             return
-        self._heard_at = steady()
-        # Once the keys are to be read anew, only what follows them counts.
-        if not self._unlisted:
-            self._take(page, asked)
+        self._last_response_at = steady()
+        # If a new snapshot is due, the page is dropped: the snapshot includes its records.
+        if not self._needs_snapshot:
+            self._apply_page(page, asked_at)
 
     async def _find_end(self) -> int:
-        """Return the end, asked for from where the store says that its records begin."""
+        """Return the end offset of the partition.
+
+        The store finds the end from an offset that it still has. If the start has expired, the
+        error names the first available offset.
+        """
         start = 0
         while True:
             try:
                 return await self._store.end(self._partition, start)
             except LogGap as gap:
                 if gap.first <= start:
-                    raise StoreUnanswered("store names no record to begin with; ask again") from gap
+                    raise StoreUnanswered("store named no later first offset; ask again") from gap
                 start = gap.first
 
     def _on_gap(self, gap: LogGap) -> None:
         if self._on_reset:
-            self._unlisted = True
+            self._needs_snapshot = True
         elif gap.first > self._offset:
             self._offset = gap.first
             self._on_missed()
 
-    def _take(self, page: Page, asked: float) -> None:
+    def _apply_page(self, page: Page, asked_at: float) -> None:
         fresh = tuple(entry for entry in page.entries if entry.offset >= self._offset)
         self._end = max(self._end, page.end)
         if fresh:
@@ -226,25 +230,25 @@
             self._on_entries(fresh)
         self._offset = max(self._offset, 0)
         if self._offset >= page.end:
-            # With a wait, the answer is as fresh as its arrival.
-            self._reached_end(asked)
+            # The time of the call is a safe lower bound: a read that waits may be fresher.
+            self._mark_synced(asked_at)
 
-    async def _list(self) -> None:
+    async def _read_snapshot(self) -> None:
         assert self._on_reset
-        listing = self._listing
+        snapshot = self._snapshot
         try:
-            synced_at = await listing.read()
+            synced_at = await snapshot.read()
         except LogGap:
-            self._listing = KeyedSnapshot(self._store, self._partition)
+            self._snapshot = KeyedSnapshot(self._store, self._partition)
             return
-        self._listing = KeyedSnapshot(self._store, self._partition)
-        self._unlisted = False
-        self._heard_at = steady()
-        self._offset = self._end = listing.end
-        self._on_reset(listing.entries, listing.end)
-        self._reached_end(synced_at)
-
-    def _reached_end(self, synced_at: float) -> None:
+        self._snapshot = KeyedSnapshot(self._store, self._partition)
+        self._needs_snapshot = False
+        self._last_response_at = steady()
+        self._offset = self._end = snapshot.end
+        self._on_reset(snapshot.entries, snapshot.end)
+        self._mark_synced(synced_at)
+
+    def _mark_synced(self, synced_at: float) -> None:
         self._synced_at = max(self._synced_at, synced_at)
         self._ready.set()
         self._on_caught_up()
@@ -255,10 +259,10 @@
             self._on_health(healthy)
 
 
-def _note_failure(reading: asyncio.Task[None]) -> None:
-    """Count a failed read as seen, also where all who waited for it have left.
+def _retrieve_exception(reading: asyncio.Task[None]) -> None:
+    """Mark the exception of a read as retrieved, so that asyncio logs no warning for it.
 
-    Those who wait are told, and the follower itself reads again and tells its health.
+    Callers that wait get the exception, and the follower retries and reports its health.
     """
     if not reading.cancelled():
         reading.exception()
--- a/src/linkspan/store/keyed_snapshot.py
+++ b/src/linkspan/store/keyed_snapshot.py
@@ -1,4 +1,4 @@
-"""The newest record of each key of a partition, page by page and as of one offset."""
+"""Reads a snapshot of the keys of a partition: the newest record of each key as of one offset."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
 
 
 class KeyedSnapshot:
-    """Reads the newest records; what came is kept over calls that fail.
+    """Reader of a snapshot of the keys, page by page.
+
+    A read that fails keeps the pages read so far, and the next call continues from there.
 
     Args:
-        store: Where to read.
+        store: Store to read from.
         partition: Keyed partition to read.
     """
 
     def __init__(self, store: Store, partition: Partition) -> None:
         self._store = store
         self._partition = partition
-        self._after: bytes | None = None
-        self._listed = False
+        self._last_key: bytes | None = None
+        self._all_pages_read = False
         self._end = -1
         self._by_offset: dict[int, Entry] = {}
 
@@ -33,47 +35,47 @@
 
     @property
     def entries(self) -> tuple[Entry, ...]:
-        """What was read so far, in order of offsets; among them keys that were dropped since."""
+        """Records read so far, in order of offsets; including keys that were removed since."""
         return tuple(self._by_offset[offset] for offset in sorted(self._by_offset))
 
     @property
     def end(self) -> int:
-        """Offset up to which records were read; below 0 before the first page."""
+        """Offset up to which the records were read; negative before the first page."""
         return self._end
 
     async def read(self) -> float:
-        """Read what is missing, and return the steady time as of which nothing is.
+        """Read what is missing and return the steady time as of which the snapshot is complete.
 
-        Pages of keys are no snapshot. The records from the first page's end on, read
-        after the last page, make them one.
+        The pages are read one after another and are not consistent by themselves. The reader
+        therefore also reads all records written since the first page.
 
         Raises:
-            StoreRefused: The store answers with a refusal; call again to go on.
-            StoreUnanswered: The store does not answer; call again to go on.
-            LogGap: Records since the first page are gone: begin another listing.
+            StoreRefused: The store refused a call; call again to continue.
+            StoreUnanswered: The store did not answer; call again to continue.
+            LogGap: Records written since the first page have expired; begin a new snapshot.
         """
-        while not self._listed:
+        while not self._all_pages_read:
             await self._read_page()
         while True:
-            asked = steady()
-            if await self._reach_end():
-                return asked
+            asked_at = steady()
+            if await self._read_to_end():
+                return asked_at
 
     async def _read_page(self) -> None:
-        page = await self._store.newest_page(self._partition, after=self._after)
+        page = await self._store.newest_page(self._partition, after=self._last_key)
         if self._end < 0:
             self._end = page.end
         if page.entries:
-            self._after = page.entries[-1].key
-        self._keep(page.entries)
-        self._listed = not page.more
+            self._last_key = page.entries[-1].key
+        self._add_entries(page.entries)
+        self._all_pages_read = not page.more
 
-    async def _reach_end(self) -> bool:
+    async def _read_to_end(self) -> bool:
         page = await self._store.read(self._partition, self._end)
-        self._keep(page.entries)
+        self._add_entries(page.entries)
         if page.entries:
             self._end = page.entries[-1].offset + 1
         return self._end >= page.end
 
-    def _keep(self, entries: Iterable[Entry]) -> None:
+    def _add_entries(self, entries: Iterable[Entry]) -> None:
         self._by_offset.update((entry.offset, entry) for entry in entries)
--- a/src/linkspan/store/metered.py
+++ b/src/linkspan/store/metered.py
@@ -1,4 +1,4 @@
-"""A store whose calls are counted and timed."""
+"""Wrapper around a store that counts and times its calls."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class MeteredStore:
-    """Passes calls on and tells the metrics.
+    """Forwards calls to a store and records their outcomes and durations as metrics.
 
     Args:
-        store: The store itself.
-        metrics: The host's metrics.
+        store: Store to forward calls to.
+        metrics: Metrics of the host.
     """
 
     def __init__(self, store: Store, metrics: HostMetrics) -> None:
@@ -41,34 +41,34 @@
         producer: Producer | None = None,
     ) -> Appended:
         """Append records; see :meth:`linkspan.store.types.Store.append`."""
-        work = self._store.append(partition, records, at=at, producer=producer)
-        return await self._timed("append", work)
+        pending_call = self._store.append(partition, records, at=at, producer=producer)
+        return await self._timed("append", pending_call)
 
     async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
         """Read records; see :meth:`linkspan.store.types.Store.read`."""
-        work = self._store.read(partition, start, wait_s=wait_s)
-        return await self._timed("wait" if wait_s else "read", work)
+        pending_call = self._store.read(partition, start, wait_s=wait_s)
+        return await self._timed("wait" if wait_s else "read", pending_call)
 
     async def end(self, partition: Partition, start: int) -> int:
-        """Find the end; see :meth:`linkspan.store.types.Store.end`."""
+        """Return the end offset; see :meth:`linkspan.store.types.Store.end`."""
         return await self._timed("end", self._store.end(partition, start))
 
     async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        """Read a page of keys; see :meth:`linkspan.store.types.Store.newest_page`."""
+        """Read a page of the newest records; see :meth:`linkspan.store.types.Store.newest_page`."""
         return await self._timed("newest", self._store.newest_page(partition, after=after))
 
     async def newest(self, partition: Partition) -> Page:
-        """Read the newest keys; see :meth:`linkspan.store.types.Store.newest`."""
+        """Read the newest record of each key; see :meth:`linkspan.store.types.Store.newest`."""
         return await self._timed("newest", self._store.newest(partition))
 
-    async def _timed(self, call: str, work: Awaitable[T]) -> T:
-        began = steady()
+    async def _timed(self, call: str, pending_call: Awaitable[T]) -> T:
+        started_at = steady()
         try:
-            answer = await work
+            answer = await pending_call
         except LinkspanError as error:
             self._metrics.count("store_calls", call=call, outcome=type(error).__name__)
             raise
         self._metrics.count("store_calls", call=call, outcome="done")
         if call != "wait":
-            self._metrics.observe("store_call", steady() - began, call=call)
+            self._metrics.observe("store_call", steady() - started_at, call=call)
         return answer
--- a/src/linkspan/store/types.py
+++ b/src/linkspan/store/types.py
@@ -1,4 +1,4 @@
-"""Types that pass between the product and a log store."""
+"""Interface of the log store and the types of its calls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     Attributes:
         topic: Name of the topic.
         number: Number of the partition in it, from 0.
-        keyed: Whether records have keys, of which the newest are kept for good.
+        keyed: Whether records have keys; the newest record of each key never expires.
     """
 
     topic: str
@@ -27,8 +27,8 @@
     """A record to append.
 
     Attributes:
-        value: Its bytes; empty in a keyed partition drops the key.
-        key: Its key, only in keyed partitions.
+        value: Content of the record; an empty value in a keyed partition removes the key.
+        key: Key of the record, in keyed partitions only.
     """
 
     value: bytes
@@ -36,7 +36,7 @@
 
 
 class Entry(NamedTuple):
-    """A record and its place."""
+    """A record in the log, with its offset."""
 
     offset: int
     value: bytes
@@ -44,11 +44,11 @@
 
 
 class Page(NamedTuple):
-    """Records from an offset on.
+    """Result of a read of records.
 
     Attributes:
-        entries: The records, in order.
-        end: First offset that was not yet written when the store answered.
+        entries: The records, in order of offsets.
+        end: Offset of the next record to be written, as of the store's answer.
     """
 
     entries: tuple[Entry, ...]
@@ -56,12 +56,12 @@
 
 
 class KeyPage(NamedTuple):
-    """Newest records of some keys.
+    """Page of the newest records of the keys.
 
     Attributes:
         entries: The records, in order of keys.
-        end: First offset that was not yet written when the store answered.
-        more: Whether keys follow after the last one.
+        end: Offset of the next record to be written, as of the store's answer.
+        more: Whether there are keys after the last one of the page.
     """
 
     entries: tuple[Entry, ...]
@@ -70,12 +70,12 @@
 
 
 class Producer(NamedTuple):
-    """Writer whose appends the store applies once, in sequence.
+    """Writer whose appends the store applies once, in order of their sequence numbers.
 
     Attributes:
-        name: Its name.
-        epoch: Its epoch; the store refuses epochs below the highest seen.
-        sequence: Number of the append within the epoch.
+        name: Name of the producer.
+        epoch: Epoch of the producer; the store refuses epochs below the highest seen.
+        sequence: Sequence number of the append within the epoch.
     """
 
     name: str
@@ -85,11 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """Outcome of an append.
+    """Result of an append.
 
     Attributes:
-        offset: Offset of the first record.
-        end: First offset after the records.
+        offset: Offset of the first appended record.
+        end: Offset after the last appended record.
     """
 
     offset: int
@@ -107,59 +107,59 @@
         at: int | None = None,
         producer: Producer | None = None,
     ) -> Appended:
-        """Append records, all or none.
+        """Append records atomically.
 
         Args:
-            partition: Where to.
-            records: The records; none only sets the producer's epoch.
-            at: Append only if the partition ends there.
-            producer: Writer, for appends that are to be applied once.
+            partition: Partition to append to.
+            records: The records; an empty sequence only sets the producer's epoch.
+            at: If given, append only if the partition ends at this offset.
+            producer: The producer, for appends that must be applied exactly once.
 
         Raises:
-            StoreRefused: Nothing was done.
-            StoreUnanswered: No answer; it may be done, even seconds later.
+            StoreRefused: The store refused the call; nothing was appended.
+            StoreUnanswered: No answer; the append may still take effect, even seconds later.
             OffsetConflict: The partition does not end at ``at``.
-            ProducerFenced: A higher epoch has written.
+            ProducerFenced: A producer with a higher epoch has written.
             ProducerGap: The sequence number does not follow the last one.
         """
 
     async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
-        """Return records from ``start`` on, waiting up to ``wait_s`` for one.
+        """Return records from ``start`` on, waiting up to ``wait_s`` for the first one.
 
         Raises:
-            StoreRefused: Nothing was done.
-            StoreUnanswered: No answer.
-            LogGap: Records at ``start`` are gone.
+            StoreRefused: The store refused the call.
+            StoreUnanswered: The store did not answer.
+            LogGap: The record at ``start`` has expired.
         """
 
     async def end(self, partition: Partition, start: int) -> int:
-        """Return the offset of the next record to be written, without the records.
+        """Return the offset of the next record to be written, without reading records.
 
         Args:
-            partition: Where.
-            start: An offset whose record is not gone.
+            partition: Partition whose end to return.
+            start: An offset whose record has not expired.
 
         Raises:
-            StoreRefused: Nothing was done.
-            StoreUnanswered: No answer.
-            LogGap: Records at ``start`` are gone.
+            StoreRefused: The store refused the call.
+            StoreUnanswered: The store did not answer.
+            LogGap: The record at ``start`` has expired.
         """
 
     async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        """Return the newest records of the first keys, or of those after a key.
+        """Return a page of the newest record of each key, from the first key or after a key on.
 
         Raises:
-            StoreRefused: Nothing was done.
-            StoreUnanswered: No answer.
+            StoreRefused: The store refused the call.
+            StoreUnanswered: The store did not answer.
         """
 
     async def newest(self, partition: Partition) -> Page:
-        """Return the newest record of each key; the pages are no snapshot.
+        """Return the newest record of each key.
 
-        The page's ``end`` is that of the first answer: reading on from there
-        misses nothing.
+        The records are read page by page, so they are not a consistent snapshot. The ``end`` of
+        the result is that of the first page: reading from there on misses nothing.
 
         Raises:
-            StoreRefused: Nothing was done.
-            StoreUnanswered: No answer.
+            StoreRefused: The store refused the call.
+            StoreUnanswered: The store did not answer.
         """
--- a/src/linkspan/store/writer.py
+++ b/src/linkspan/store/writer.py
@@ -1,4 +1,4 @@
-"""Appends that happen exactly once, in groups, whatever answers are lost."""
+"""Appends records in groups, exactly once even if answers of the store are lost."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
     from linkspan.store.types import Partition, Store
 
 MAX_GROUP_BYTES = 256 * 1024
-"""Bytes in one append: an eighth of what the store takes, so that a slow link is
-not held by one call for longer than a retry takes."""
+"""Limits the bytes of one append to an eighth of what the store accepts, so that a call does
+not occupy a slow link for longer than a retry takes."""
 
 RETRY_S = 0.1
-"""First pause after a failed append, in seconds; doubled up to the next."""
+"""Initial backoff after a failed append, in seconds; it doubles up to ``MAX_RETRY_S``."""
 
 MAX_RETRY_S = 0.5
-"""Longest pause between appends: a quarter of the two seconds in which an owner
-is to be replaced, so that a store that is back is noticed well within them."""
+"""Limits the backoff between appends, in seconds. It is a quarter of the two seconds within
+which an owner must be replaced, so that the end of a store outage is noticed well in time."""
 
 
 @dataclass(slots=True)
-class _Item:
-    """One write that waits.
+class _QueuedWrite:
+    """A queued write.
 
     Attributes:
         records: Records to append together.
-        done: Resolved with their first offset.
-        patient: Whether to go on after a refusal.
-        size: Bytes of the records with their frames.
+        done: Future of the offset of the first record.
+        retry_refused: Whether to retry after a refusal.
+        size: Bytes of the records including their framing.
     """
 
     records: tuple[Record, ...]
     done: asyncio.Future[int]
-    patient: bool
+    retry_refused: bool
     size: int = field(init=False)
 
     def __post_init__(self) -> None:
@@ -55,23 +55,23 @@
 
 
 class GroupWriter:
-    """Writes records of one partition in groups, one append at a time.
+    """Writer of one partition that appends queued records in groups, one append at a time.
 
-    The store numbers a producer's appends, so an append without an answer is
-    sent again until it gets one: it is then applied once, also when the first
-    sending arrives seconds late.
+    The store deduplicates a producer's appends by sequence number. An append without an answer
+    is therefore retried until it is answered, and takes effect once even if the first attempt
+    arrives seconds late.
 
     Args:
-        store: Where to write.
+        store: Store to write to.
         partition: Partition to write to.
-        name: The producer's name.
-        epoch: The producer's epoch.
-        may_renumber: Whether the producer may begin a higher epoch of its own when
-            the store lost track of it. Not for epochs that are fencing tokens.
+        name: Name of the producer.
+        epoch: Epoch of the producer.
+        may_renumber: Whether the writer may begin a higher epoch when the store has lost the
+            producer's sequence. Not allowed where the epoch is a fencing token.
         on_health: Called with whether the store answers, at each change.
-        on_renumber: Called with the new epoch whenever one is begun.
-        rewrite: Returns a record as it is sent again after so many sendings without an
-            answer, each of which may stand in the log.
+        on_renumber: Called with the new epoch when the writer begins one.
+        rewrite: Returns the record to send in a retry, given the record and the number of
+            unanswered attempts; each of these may be in the log.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self._epoch = epoch
         self._may_renumber = may_renumber
         self._sequence = 1
-        self._queue: deque[_Item] = deque()
+        self._queue: deque[_QueuedWrite] = deque()
         self._wake = asyncio.Event()
         self._healthy = True
         self._failed_at = float("-inf")
@@ -106,33 +106,37 @@
 
     @property
     def healthy(self) -> bool:
-        """Whether the last append was answered."""
+        """Whether the last append succeeded."""
         return self._healthy
 
     @property
     def failed_at(self) -> float:
-        """Steady time of the last append that was refused or not answered."""
+        """Steady time at which an append was last refused or left unanswered."""
         return self._failed_at
 
-    def write(self, records: Sequence[Record], *, patient: bool = True) -> asyncio.Future[int]:
-        """Queue records and return a future of their first offset.
+    def write(
+        self, records: Sequence[Record], *, retry_refused: bool = True
+    ) -> asyncio.Future[int]:
+        """Queue records and return a future of the offset of the first one.
 
         Args:
             records: Records to append together.
-            patient: Whether to go on after a refusal. An impatient write fails
-                with ``StoreRefused`` when surely nothing of it was done.
+            retry_refused: Whether to retry after a refusal. Otherwise the write fails with
+                ``StoreRefused`` once it is certain that none of its records was appended.
         """
-        item = _Item(tuple(records), asyncio.get_running_loop().create_future(), patient)
-        self._queue.append(item)
+        write = _QueuedWrite(
+            tuple(records), asyncio.get_running_loop().create_future(), retry_refused
+        )
+        self._queue.append(write)
         self._wake.set()
-        return item.done
+        return write.done
 
     async def run(self) -> None:
-        """Write until cancelled.
+        """Append queued records until cancelled.
 
         Raises:
-            ProducerFenced: A higher epoch has written.
-            ProducerGap: The store lost track of this producer.
+            ProducerFenced: A producer with a higher epoch has written.
+            ProducerGap: The store has lost the sequence of this producer.
         """
         while True:
             await self._wake.wait()
@@ -140,39 +144,39 @@
             while group := self._next_group():
                 await self._write_group(group)
 
-    def _next_group(self) -> list[_Item]:
-        group: list[_Item] = []
+    def _next_group(self) -> list[_QueuedWrite]:
+        group: list[_QueuedWrite] = []
         size = 0
         while self._queue and (not group or size + self._queue[0].size <= MAX_GROUP_BYTES):
-            item = self._queue.popleft()
-            size += item.size
-            group.append(item)
+            write = self._queue.popleft()
+            size += write.size
+            group.append(write)
         return group
 
-    async def _write_group(self, group: list[_Item]) -> None:
+    async def _write_group(self, group: list[_QueuedWrite]) -> None:
         self._unanswered = 0
-        pause = RETRY_S
+        backoff_s = RETRY_S
         while group:
             try:
                 offset = await self._append(group)
             except StoreRefused as error:
                 self._set_health(False)
                 if not self._unanswered:
-                    group = _without_impatient(group, error)
+                    group = _fail_without_retry(group, error)
             except StoreUnanswered:
                 self._set_health(False)
                 self._unanswered += 1
             except ProducerFenced as error:
-                for item in group:
-                    _fail(item, error)
+                for write in group:
+                    _fail(write, error)
                 raise
             except ProducerGap as error:
                 if not self._may_renumber:
-                    for item in group:
-                        _fail(item, error)
+                    for write in group:
+                        _fail(write, error)
                     raise
-                # The store lost track of this producer. The group may be there already:
-                # readers fold records idempotently, and none of them hides another.
+                # The group may already be in the log under the old epoch. Appending it twice is
+                # harmless: readers apply records idempotently, and no record hides another.
                 self._epoch += 1
                 self._sequence = 1
                 self._on_renumber(self._epoch)
@@ -180,12 +184,12 @@
                 self._set_health(True)
                 _resolve(group, offset)
                 return
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, MAX_RETRY_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_RETRY_S)
 
-    async def _append(self, group: list[_Item]) -> int:
-        times = self._unanswered
-        records = [self._rewrite(record, times) for item in group for record in item.records]
+    async def _append(self, group: list[_QueuedWrite]) -> int:
+        unanswered = self._unanswered
+        records = [self._rewrite(record, unanswered) for write in group for record in write.records]
         producer = Producer(self._name, self._epoch, self._sequence)
         appended = await self._store.append(self._partition, records, producer=producer)
         self._sequence += 1
@@ -199,22 +203,22 @@
             self._on_health(healthy)
 
 
-def _without_impatient(group: list[_Item], error: StoreRefused) -> list[_Item]:
-    for item in group:
-        if not item.patient:
-            _fail(item, error)
-    return [item for item in group if item.patient]
+def _fail_without_retry(group: list[_QueuedWrite], error: StoreRefused) -> list[_QueuedWrite]:
+    for write in group:
+        if not write.retry_refused:
+            _fail(write, error)
+    return [write for write in group if write.retry_refused]
 
 
-def _fail(item: _Item, error: LinkspanError) -> None:
-    if not item.done.done():
-        item.done.set_exception(error)
-        # A waiter that has left must not leave a warning behind.
-        item.done.exception()
+def _fail(write: _QueuedWrite, error: LinkspanError) -> None:
+    if not write.done.done():
+        write.done.set_exception(error)
+        # Marks the exception as retrieved: asyncio would log a warning if the waiter has left.
+        write.done.exception()
 
 
-def _resolve(group: list[_Item], offset: int) -> None:
-    for item in group:
-        if not item.done.done():
-            item.done.set_result(offset)
-        offset += len(item.records)
+def _resolve(group: list[_QueuedWrite], offset: int) -> None:
+    for write in group:
+        if not write.done.done():
+            write.done.set_result(offset)
+        offset += len(write.records)
--- a/tests/store/test_find_end.py
+++ b/tests/store/test_find_end.py
@@ -53,7 +53,7 @@
         write(store, 10)
         link = AskedLink(store)
         taken: list[Entry] = []
-        follower = Follower(link, THINGS, on_entries=taken.extend, most_past=4)
+        follower = Follower(link, THINGS, on_entries=taken.extend, max_past_records=4)
         began = asyncio.get_running_loop().time()
         await follower.sync()
         assert link.asked == [0, 30]
@@ -81,7 +81,11 @@
         link = StuckLink(MemoryStore())
         health: list[bool] = []
         follower = Follower(
-            link, THINGS, on_entries=lambda _entries: None, on_health=health.append, most_past=4
+            link,
+            THINGS,
+            on_entries=lambda _entries: None,
+            on_health=health.append,
+            max_past_records=4,
         )
         work = asyncio.create_task(follower.run())
         await asyncio.sleep(6.0)
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -50,7 +50,7 @@
         began = asyncio.get_running_loop().time()
         patient = writer.write([Record(b"patient")])
         with pytest.raises(StoreRefused):
-            await writer.write([Record(b"impatient")], patient=False)
+            await writer.write([Record(b"impatient")], retry_refused=False)
         assert asyncio.get_running_loop().time() - began < 0.1
         store.refusing.clear()
         await patient
@@ -67,7 +67,7 @@
         store.losing, store.late = 1.0, True
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=1)
         work = asyncio.create_task(writer.run())
-        write = writer.write([Record(b"a")], patient=False)
+        write = writer.write([Record(b"a")], retry_refused=False)
         await asyncio.sleep(0.5)
         store.losing = 0.0
         store.refusing.add("h")
