--- a/src/linkspan/host/__init__.py
+++ b/src/linkspan/host/__init__.py
@@ -1,1 +1,1 @@
-"""A host's daemon: entry for callers, job records, ownership of a shard."""
+"""The host daemon: serves callers, follows the job records and takes part in shard ownership."""
--- a/src/linkspan/host/__main__.py
+++ b/src/linkspan/host/__main__.py
@@ -1,7 +1,7 @@
-"""Starts a host daemon: ``python3 -m linkspan.host``.
+"""Entry point of the host daemon: ``python3 -m linkspan.host``.
 
-The command line (``linkspan host``) does the same with flags; this entry leaves its
-imports out, since each restart pays for them.
+The command ``linkspan host`` starts the same daemon and takes flags. This entry point avoids the
+imports of the command line, which would slow down every restart.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 def main() -> int:
     """Run a host daemon and return its exit code."""
-    began = steady()
-    # A reload that is asked for during the imports, 0.6 s, would end the process; the
-    # settings are read after them in any case.
+    started_at = steady()
+    # Without a handler, a SIGHUP during the 0.6 s of imports would end the process. Ignoring it
+    # is safe, since the settings are read after the imports.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Hosts speak plain HTTP only. The HTTP library reads all certificates of the system at
-    # its import: a sixth of the processor time of the imports (0.32 s without, 0.38 with).
+    # Hosts use plain HTTP only, but the HTTP library loads the system's certificates when it is
+    # imported, which takes a sixth of the CPU time of all imports (0.38 s with, 0.32 s without).
     os.environ["SSL_CERT_FILE"] = os.devnull
     from linkspan.host._run import run
 
-    return run(began)
+    return run(started_at)
 
 
 if __name__ == "__main__":
--- a/src/linkspan/host/_impossible.py
+++ b/src/linkspan/host/_oversized.py
@@ -1,4 +1,4 @@
-"""Jobs of which it is known at once that they cannot be served."""
+"""Detects jobs that no executor is large enough to run."""
 
 from __future__ import annotations
 
@@ -13,17 +13,16 @@
 
 
 def oversized_step(spec: JobSpec, capacities: Collection[Demand]) -> int | None:
-    """Return the first step whose tasks are larger than any executor that was ever seen.
+    """Return the index of the first step whose tasks exceed every known executor of the service.
 
-    Labels are no reason: an executor of another kind may come at any time. Nothing is
-    said while no executor of the service was seen.
+    Labels are not checked: an executor with other labels may register at any time.
 
     Args:
         spec: The job.
-        capacities: Sizes of the service's executors, also of those that are gone.
+        capacities: Capacities of the service's executors, including those that have left.
 
     Returns:
-        Index of the step, ``None`` if each fits some executor.
+        Index of the step; ``None`` if each step fits some executor or none is known.
     """
     if not capacities:
         return None
--- a/src/linkspan/host/_run.py
+++ b/src/linkspan/host/_run.py
@@ -1,4 +1,4 @@
-"""Runs a host daemon on the settings that the platform names."""
+"""Runs a host daemon with the settings that the platform provides."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from linkspan.platform.settings import read_settings, settings_path
 
 
-def run(began: float) -> int:
-    """Run a host daemon to its end and return its exit code.
+def run(started_at: float) -> int:
+    """Run a host daemon until it stops and return its exit code.
 
     Args:
-        began: Steady time at which the program began to load.
+        started_at: Steady time at which the program began to load.
     """
-    loaded_s = steady() - began
+    loaded_s = steady() - started_at
     try:
         path = settings_path()
         asyncio.run(HostDaemon(read_settings(path), path, loaded_s=loaded_s).serve())
--- a/src/linkspan/host/_slowness.py
+++ b/src/linkspan/host/_slowness.py
@@ -1,26 +1,26 @@
-"""How slow a host is, as it observes itself, and how long it lets others claim first."""
+"""Measures how slow a host is, to delay its claims so that faster hosts claim a shard first."""
 
 from __future__ import annotations
 
-LOADING_SHARE = 0.5
-"""Seconds of delay for a second of loading the program, which is the same work on each host.
-Hosts of two cores load it in some 0.3 s and those of half a core in 0.7 s; apart by 0.2 s, the
-first have claimed before the others look."""
+DELAY_PER_LOAD_SECOND = 0.5
+"""Seconds of delay per second of loading the program, which is the same work on each host.
+Hosts with two cores load it in some 0.3 s, those with half a core in 0.7 s. With claims 0.2 s
+apart, the fast hosts have claimed a shard before the slow ones check."""
 
-MAX_DELAY_S = 0.3
-"""Longest delay of a claim: a shard without an owner starts nothing, and a host of the hall is
-to claim a released one before another hall's does, after 0.6 s."""
+MAX_CLAIM_DELAY_S = 0.3
+"""Limits the delay of a claim, in seconds. A shard without an owner starts no tasks, and a host
+of its hall must claim a released shard before hosts of other halls do, which is after 0.6 s."""
 
-LAG_KEPT = 0.9
-"""Part of a lag that still counts at the next look: a burst is forgotten within seconds."""
+LAG_DECAY = 0.9
+"""Decay factor of the lag per measurement, so that a burst of load has no effect after seconds."""
 
 
 class Slowness:
-    """Observes a host's loading and the lag of its loop.
+    """Slowness of a host, measured by its load time and the lag of its event loop.
 
-    An owner gives the orders of a hall, some half a core at a hundred executors. Hosts of a
-    hall differ by four times in cores, and the weak ones are many: unless they wait, a shard
-    goes to one of them five times of six.
+    An owner sends all orders of a hall, which takes about half a core with a hundred executors.
+    The hosts of a hall differ fourfold in cores, and most of them are weak: without a delay, a
+    weak host would own the shard in five of six cases.
 
     Args:
         loaded_s: Time that the program took to load, in seconds.
@@ -35,9 +35,9 @@
 
     @property
     def delay_s(self) -> float:
-        """Time for which this host lets others claim a shard first, in seconds."""
-        return min(LOADING_SHARE * self._loaded_s + self._lag_s, MAX_DELAY_S)
+        """Time that this host waits for others to claim a shard first, in seconds."""
+        return min(DELAY_PER_LOAD_SECOND * self._loaded_s + self._lag_s, MAX_CLAIM_DELAY_S)
 
-    def note_lag(self, lag_s: float) -> None:
-        """Take in by how much a sleep of the loop was too long, in seconds."""
-        self._lag_s = max(lag_s, LAG_KEPT * self._lag_s)
+    def record_lag(self, lag_s: float) -> None:
+        """Record by how much a sleep in the event loop overran, in seconds."""
+        self._lag_s = max(lag_s, LAG_DECAY * self._lag_s)
--- a/src/linkspan/host/candidate.py
+++ b/src/linkspan/host/candidate.py
@@ -1,4 +1,4 @@
-"""A host's part in the ownership of one shard: watch, claim, renew, hand on."""
+"""Takes part in the ownership of one shard: watches, claims, renews and releases it."""
 
 from __future__ import annotations
 
@@ -31,48 +31,49 @@
     from linkspan.shard.tenure import Tenure
     from linkspan.store.types import Entry, Store
 
-HOME_WATCH_S = 0.7
-"""How long a look at the own hall's ownership waits for a record: a little over the
-time between renewals, so that a silent owner is found at once."""
+HOME_READ_WAIT_S = 0.7
+"""Time that a read of the ownership of this host's hall waits for a record, in seconds. It is
+slightly longer than the interval of renewals, so that a silent owner is detected at once."""
 
-REMOTE_WATCH_S = 2.0
-"""Pause between looks at another hall's ownership."""
+REMOTE_READ_PAUSE_S = 2.0
+"""Pause between reads of the ownership of another hall, in seconds."""
 
-SUMMARY_EVERY = 2
-"""Renewals of which one tells the state of the hall."""
+RENEWALS_PER_SUMMARY = 2
+"""Number of renewals per summary: one of them includes the summary of the hall."""
 
-PAST_RECORDS = 4
-"""Records of the past that a look at a hall's ownership begins with. Two renewals name the
-owner and one of them tells the state of the hall; a day of them is megabytes, which all hosts
-that start anew would ask for at once."""
+MAX_PAST_RECORDS = 4
+"""Limits the existing records with which a host starts to follow a hall's ownership. Two renewals
+name the owner, and one of them includes the summary of the hall. The records of a day take
+megabytes, which all hosts would request at once when they start together."""
 
 CRASH_PAUSE_S = 1.0
-"""Pause after a tenure ended by an error, so that a lasting one does not spin."""
+"""Pause after a tenure failed, in seconds, so that a persistent error causes no busy loop."""
 
-CLAIM_TICK_S = 0.1
-"""Time between checks whether it is this host's turn to claim the shard of its hall."""
+CLAIM_CHECK_INTERVAL_S = 0.1
+"""Interval between checks whether to claim the shard of this host's hall, in seconds."""
 
-REMOTE_CLAIM_TICK_S = 0.25
-"""The same for the shard of another hall, whose ownership is read every 2 s. Each check wakes
-the host, for each hall; and work that nobody owns is to be stopped within 3 s."""
+REMOTE_CLAIM_CHECK_INTERVAL_S = 0.25
+"""The same interval for the shard of another hall, whose ownership is read every 2 s. It is
+longer because each check wakes the host for each hall, and is limited because tasks of a
+shard without an owner must be stopped within 3 s."""
 
-HAND_ON_S = 1.0
-"""Longest time for making progress durable before a shard is handed on."""
+MAX_HAND_OFF_S = 1.0
+"""Limits the time to make progress durable before a shard is released, in seconds."""
 
 
 class Candidate:
-    """Watches a shard's ownership and holds it when it is this host's turn.
+    """Candidate for the ownership of a shard, which becomes its owner when its claim succeeds.
 
     Args:
         store: The platform's store.
         shard: Number of the shard.
-        host: This host's name.
-        incarnation: Life of this process.
+        host: Name of this host.
+        incarnation: Incarnation of this process.
         home: Whether the shard is that of this host's hall.
-        make_tenure: Makes a tenure for an owner, a shard and what is known of the claim.
-        log: Where events go.
-        slowness: What this host observes of itself.
-        on_summary: Takes the shard and what its owner tells of its hall.
+        make_tenure: Creates a tenure from the owner, the shard and the details of the claim.
+        log: Event log.
+        slowness: Slowness of this host, which delays its claims.
+        on_summary: Called with the shard and each summary that its owner publishes.
     """
 
     def __init__(
@@ -105,15 +106,15 @@
             on_entries=self._on_entries,
             on_health=self._on_health,
             on_missed=lambda: self._view.miss(steady()),
-            pause_s=0.0 if home else REMOTE_WATCH_S,
-            max_past_records=PAST_RECORDS,
+            pause_s=0.0 if home else REMOTE_READ_PAUSE_S,
+            max_past_records=MAX_PAST_RECORDS,
         )
-        self._follower.wait_s = HOME_WATCH_S if home else 0.0
+        self._follower.wait_s = HOME_READ_WAIT_S if home else 0.0
         self._tenure: Tenure | None = None
         self._tenure_task: asyncio.Task[None] | None = None
         self._renewed_at: dict[int, float] = {}
         self._renewals = 0
-        self._claimed = Claim(float("-inf"), OFFLINE_S)
+        self._last_claim = Claim(float("-inf"), OFFLINE_S)
         self._enabled = asyncio.Event()
 
     def __repr__(self) -> str:
@@ -121,41 +122,42 @@
 
     @property
     def tenure(self) -> Tenure | None:
-        """The present tenure, if this host owns the shard."""
+        """Current tenure, ``None`` if this host does not own the shard."""
         return self._tenure
 
     @property
     def view(self) -> OwnerView:
-        """The shard's ownership."""
+        """View of the shard's ownership."""
         return self._view
 
     @property
     def last_response_at(self) -> float:
-        """Steady time at which the store last answered."""
+        """Steady time of the store's last answer to a read of the ownership."""
         return self._follower.last_response_at
 
     def enable(self) -> None:
-        """Allow claims: this host knows the configuration and the jobs."""
+        """Allow claims, once this host has read the configuration and the jobs."""
         self._enabled.set()
 
     async def run(self) -> None:
-        """Watch and claim until cancelled."""
+        """Follow the ownership and claim the shard when it is due, until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._follower.run())
                 group.create_task(self._claim_loop(group))
                 group.create_task(self._renew_loop())
         finally:
-            # A tenure that nothing tells of newer owners must not go on giving orders.
+            # Without the follower, the tenure would not learn of a newer owner and would keep
+            # sending orders.
             self._end_tenure()
 
     async def hand_off(self) -> None:
-        """Give the shard to another host before a planned stop."""
+        """Release the shard to another host before a planned stop."""
         self._enabled.clear()
         tenure = self._tenure
         if tenure is None:
             return
-        await tenure.hand_off(HAND_ON_S)
+        await tenure.hand_off(MAX_HAND_OFF_S)
         try:
             await self._append(OwnerAct.RELEASE)
         except (StoreRefused, StoreUnanswered) as error:
@@ -169,46 +171,48 @@
         while True:
             if self._follower.ready and self._enabled.is_set():
                 now = steady()
-                if self._should_claim(now) and self._heard_lately(now):
+                if self._should_claim(now) and self._view_is_fresh(now):
                     await self._claim(group)
-            await asyncio.sleep(CLAIM_TICK_S if self._home else REMOTE_CLAIM_TICK_S)
+            await asyncio.sleep(
+                CLAIM_CHECK_INTERVAL_S if self._home else REMOTE_CLAIM_CHECK_INTERVAL_S
+            )
 
     def _should_claim(self, now: float) -> bool:
         return self._view.should_claim(now, delay_s=self._slowness.delay_s)
 
-    def _heard_lately(self, now: float) -> bool:
-        # The silence must be the owner's, not the store's.
-        limit = 2 * HOME_WATCH_S if self._home else 2 * REMOTE_WATCH_S
+    def _view_is_fresh(self, now: float) -> bool:
+        # With a stale view, a silence may be due to the store rather than the owner.
+        limit = 2 * HOME_READ_WAIT_S if self._home else 2 * REMOTE_READ_PAUSE_S
         return now - self._follower.synced_at < limit
 
     async def _claim(self, group: asyncio.TaskGroup) -> None:
         record = OwnerRecord(OwnerAct.CLAIM, self._host, self._incarnation)
-        silent = self._view.silent_for(steady())
-        former = self._view.owner
-        asked = steady()
+        silent_s = self._view.silent_for(steady())
+        previous_owner = self._view.owner
+        asked_at = steady()
         try:
             await self._follower.sync()
             now = steady()
             if not self._should_claim(now):
                 return
-            # An earlier claim of ours, without an answer, may be done since we asked.
-            self._claimed = Claim(asked, now - asked + self._view.offline_left(now))
+            # Counts from before the call: an earlier unanswered claim may succeed meanwhile.
+            self._last_claim = Claim(asked_at, now - asked_at + self._view.offline_left(now))
             appended = await self._store.append(
                 self._partition, [Record(record.encode())], at=self._follower.offset
             )
         except (OffsetConflict, StoreRefused, StoreUnanswered):
-            # Another host was first, or our claim will be read back.
+            # Another host has claimed the shard, or the follower will read this claim back.
             return
         self._log.write(
             Event.OWNER_CLAIMED,
             shard=self._shard,
             token=appended.offset + 1,
-            former=former.host if former else None,
-            silent_s=round(silent, 2),
-            former_token=former.token if former else None,
-            former_acts_s=round(self._claimed.former_offline_s, 2),
+            former=previous_owner.host if previous_owner else None,
+            silent_s=round(silent_s, 2),
+            former_token=previous_owner.token if previous_owner else None,
+            former_acts_s=round(self._last_claim.former_offline_s, 2),
         )
-        # Another hall's ownership is looked at seldom, and its claim counts once it is read.
+        # The claim takes effect once it is read back, and other halls' ownership is read seldom.
         with suppress(StoreRefused, StoreUnanswered):
             await self._follower.sync()
 
@@ -220,13 +224,13 @@
             except RecordError as error:
                 self._log.write(Event.RECORD_SKIPPED, partition="owners", error=str(error))
                 continue
-            self._take_proof(record)
+            self._apply_renewal(record)
             if record.summary:
                 self._on_summary(self._shard, record.summary)
-        self._follow_view()
+        self._update_tenure()
 
-    def _take_proof(self, record: OwnerRecord) -> None:
-        """Count a renewal of the present tenure that came through with no other claim before it."""
+    def _apply_renewal(self, record: OwnerRecord) -> None:
+        """Extend the current tenure if a record is its renewal and no other claim precedes it."""
         owner = self._view.owner
         if self._tenure and self._view.mine and owner and record.token == owner.token:
             renewed_at = self._renewed_at.pop(record.number, float("-inf"))
@@ -236,7 +240,7 @@
         if healthy:
             self._view.store_back(steady())
 
-    def _follow_view(self) -> None:
+    def _update_tenure(self) -> None:
         owner = self._view.owner
         current = self._tenure
         if current and (not self._view.mine or owner is None):
@@ -248,9 +252,9 @@
             self._begin_tenure(owner)
 
     def _begin_tenure(self, owner: Owner) -> None:
-        # Renewals tell who starts later how long this tenure has ruled.
+        # Renewals are numbered per tenure, so that hosts that start later know the tenure's age.
         self._renewals = 0
-        self._tenure = self._make_tenure(owner, self._shard, self._claimed)
+        self._tenure = self._make_tenure(owner, self._shard, self._last_claim)
         self._tenure_task = asyncio.create_task(self._run_tenure(self._tenure))
 
     async def _run_tenure(self, tenure: Tenure) -> None:
@@ -281,7 +285,7 @@
             try:
                 await self._append(OwnerAct.RENEW)
             except (StoreRefused, StoreUnanswered):
-                # The tenure itself bounds how long it goes on unproved.
+                # The tenure itself limits how long it continues without a confirmed renewal.
                 continue
 
     async def _append(self, act: OwnerAct) -> None:
@@ -290,7 +294,7 @@
             return
         self._renewals += 1
         summary = None
-        if self._tenure and self._renewals % SUMMARY_EVERY == 0:
+        if self._tenure and self._renewals % RENEWALS_PER_SUMMARY == 0:
             summary = self._tenure.summary()
         record = OwnerRecord(
             act, self._host, self._incarnation, owner.token, self._renewals, summary
--- a/src/linkspan/host/connections.py
+++ b/src/linkspan/host/connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections, which may go silent for good at any point."""
+"""Server connections of callers, with timeouts for callers that go silent at any point."""
 
 from __future__ import annotations
 
@@ -15,34 +15,36 @@
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 HALF_REQUEST_S = 10.0
-"""Time in which a request's head must be there whole, from its first byte on. Callers
-give a call three seconds in all; a body has the bound of its call."""
+"""Limits the time from the first byte of a request to the end of its headers, in seconds.
+Callers time out after three seconds in total; the body is limited by the deadline of the
+request."""
 
 UNREAD_S = 10.0
-"""Time after which a caller that takes nothing of an answer is cut off."""
+"""Limits the time for which a caller may read nothing of a response, in seconds."""
 
 MAX_IDLE = 512
-"""Connections between two calls that are kept; beyond them the longest idle go. Half of
-the descriptors that a process usually gets (1,024), which the calls to executors share."""
+"""Limits idle connections; beyond it, those idle for longest are closed. It is half of the usual
+limit of file descriptors of a process (1,024), which calls to executors share."""
 
 SWEEP_S = 1.0
-"""Time between looks at all connections."""
+"""Interval between checks of all connections, in seconds."""
 
-PROBE_AFTER_S = 15
-"""Time without a packet after which the system asks whether the other end is there."""
+KEEPALIVE_IDLE_S = 15
+"""Time without a packet after which the kernel sends a keepalive probe, in seconds."""
 
-PROBE_EVERY_S = 5
-"""Time between such probes."""
+KEEPALIVE_INTERVAL_S = 5
+"""Interval between keepalive probes, in seconds."""
 
-PROBES = 3
-"""Probes without an answer after which a connection counts as lost."""
+MAX_KEEPALIVE_PROBES = 3
+"""Limits unanswered keepalive probes, after which the connection is closed."""
 
-UNACKNOWLEDGED_MS = 1_000 * (PROBE_AFTER_S + PROBES * PROBE_EVERY_S)
-"""Time after which sent bytes that the other end did not confirm end a connection."""
+MAX_UNACKNOWLEDGED_MS = 1_000 * (KEEPALIVE_IDLE_S + MAX_KEEPALIVE_PROBES * KEEPALIVE_INTERVAL_S)
+"""Limits the time that sent data may stay unacknowledged, after which the kernel closes the
+connection, in milliseconds."""
 
 
 class CallerConnection(RequestHandler):
-    """One caller's connection, with what tells that it went silent."""
+    """Connection of a caller that tracks whether the caller has gone silent."""
 
     __slots__ = (
         "_begun_at",
@@ -53,8 +55,8 @@
         "_unread_since",
     )
 
-    def __init__(self, *arguments: Any, **named: Any) -> None:
-        super().__init__(*arguments, **named)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self._busy = False
         self._closing = False
         self._begun_at: float | None = None
@@ -64,23 +66,24 @@
 
     @property
     def idle(self) -> bool:
-        """Whether it is between two calls."""
+        """Whether the connection is between two requests."""
         return not self._busy and self._begun_at is None and not self._unread_bytes
 
     @property
     def idle_since(self) -> float:
-        """Time of the loop at which its last call ended, or it began."""
+        """Loop time at which the last request ended or, before the first, the connection opened."""
         return self._idle_since
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have the system find out when the other end vanishes."""
+        """Enable keepalive probes, so that the kernel detects a vanished peer."""
         super().connection_made(transport)
-        _probe(transport.get_extra_info("socket"))
+        _enable_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Note when a request begins; one that comes too late is reset at once.
+        """Record the start of a request, or reset the connection if it is closing.
 
-        The library would read it and leave it unanswered until the listener's end.
+        The HTTP library would read a request on a closing connection and leave it unanswered
+        until the listener closes.
         """
         if not self._busy and self._begun_at is None:
             if self._closing:
@@ -90,10 +93,10 @@
         super().data_received(data)
 
     def close(self) -> None:
-        """Take no further request; one that is coming in is read on and gets its answer.
+        """Accept no further request; a request that is being received is still answered.
 
-        The library would throw the rest of it away, and leaves an idle connection open
-        with nobody to read it.
+        The HTTP library would discard the rest of such a request, and would leave an idle
+        connection open without reading from it.
         """
         self._closing = True
         if self._busy or self._begun_at is not None:
@@ -103,46 +106,46 @@
             self.drop()
 
     def begin_call(self) -> None:
-        """Note that a request's head was read whole."""
+        """Record that the headers of a request are complete and its handler starts."""
         self._busy = True
         self._begun_at = None
 
     def end_call(self) -> None:
-        """Note that a request has its answer."""
+        """Record that the handler of a request has finished."""
         self._busy = False
         self._idle_since = self._loop.time()
         if self._closing:
-            # The library ends the connection behind the answer.
+            # The HTTP library closes the connection after the response.
             super().close()
 
-    def overdue(self, now: float) -> str | None:
-        """Return why it is to be closed at a time of the loop, if it is."""
+    def drop_reason(self, now: float) -> str | None:
+        """Return why the connection must be dropped at a loop time, ``None`` if it need not be."""
         if self._begun_at is not None and now - self._begun_at > HALF_REQUEST_S:
-            return "half a request"
+            return "incomplete request"
         if self._unread_for(now) > UNREAD_S:
-            return "answer not taken"
+            return "response not read"
         return None
 
     def drop(self) -> None:
-        """Close it, with what it still holds."""
+        """Abort the connection and discard unsent data."""
         if self.transport is not None:
             self.transport.abort()
 
     def _unread_for(self, now: float) -> float:
-        """Return for how long nothing of what waits to be sent was taken."""
+        """Return for how long the peer has read nothing of the data to send, in seconds."""
         transport = self.transport
-        waiting = transport.get_write_buffer_size() if transport else 0
-        if waiting != self._unread_bytes:
-            self._unread_bytes, self._unread_since = waiting, now
-        return now - self._unread_since if waiting else 0.0
+        buffered = transport.get_write_buffer_size() if transport else 0
+        if buffered != self._unread_bytes:
+            self._unread_bytes, self._unread_since = buffered, now
+        return now - self._unread_since if buffered else 0.0
 
 
 class CallerServer(web.Server):
-    """Makes callers' connections and closes those that went silent.
+    """Server that creates the connections of callers and drops those that have gone silent.
 
     Args:
-        handler: Answers a request.
-        on_drop: Called with the reason when a connection is closed.
+        handler: Handles a request.
+        on_drop: Called with the reason when the server drops a connection.
     """
 
     def __init__(self, handler: Handler, *, on_drop: Callable[[str], None]) -> None:
@@ -153,7 +156,7 @@
 
     @property
     def caller_connections(self) -> list[CallerConnection]:
-        """The open connections."""
+        """Open connections of callers."""
         return [c for c in self.connections if isinstance(c, CallerConnection)]
 
     def __call__(self) -> RequestHandler:
@@ -163,7 +166,7 @@
         return CallerConnection(self, loop=self._loop, **self._kwargs)
 
     async def shutdown(self, timeout: float | None = None) -> None:
-        """Close all connections, after what is in flight or the time given in seconds."""
+        """Close all connections once their requests are answered, or after a timeout in seconds."""
         if self._sweeping is not None:
             self._sweeping.cancel()
         await super().shutdown(timeout)
@@ -178,26 +181,26 @@
 
     def _sweep(self) -> None:
         now = self._loop.time()
-        open_ones = self.caller_connections
-        for connection in open_ones:
-            reason = connection.overdue(now)
+        connections = self.caller_connections
+        for connection in connections:
+            reason = connection.drop_reason(now)
             if reason:
                 self._drop(connection, reason)
-        idle = sorted((c for c in open_ones if c.idle), key=lambda c: c.idle_since)
+        idle = sorted((c for c in connections if c.idle), key=lambda c: c.idle_since)
         for connection in idle[: max(0, len(idle) - MAX_IDLE)]:
-            self._drop(connection, "too many idle ones")
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep) if open_ones else None
+            self._drop(connection, "too many idle connections")
+        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep) if connections else None
 
     def _drop(self, connection: CallerConnection, reason: str) -> None:
         connection.drop()
         self._on_drop(reason)
 
 
-def _probe(connected: socket.socket) -> None:
+def _enable_keepalive(connection: socket.socket) -> None:
     for option, value in (
-        (socket.TCP_KEEPIDLE, PROBE_AFTER_S),
-        (socket.TCP_KEEPINTVL, PROBE_EVERY_S),
-        (socket.TCP_KEEPCNT, PROBES),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES),
+        (socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS),
     ):
-        connected.setsockopt(socket.IPPROTO_TCP, option, value)
+        connection.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/linkspan/host/daemon.py
+++ b/src/linkspan/host/daemon.py
@@ -1,4 +1,4 @@
-"""The host daemon: sockets, signals and clients around a host."""
+"""The host daemon: opens the sockets, handles signals and creates the clients of a host."""
 
 from __future__ import annotations
 
@@ -35,33 +35,33 @@
 
     from linkspan.model.settings import HostSettings
 
-CONNECTIONS_PER_PEER = 12
-"""Most connections to one executor or to the store: a look that waits, and orders
-beside it. An executor takes 64 from all hosts together."""
+MAX_CONNECTIONS_PER_PEER = 12
+"""Limits connections to one executor or to the store: one for a poll that waits, the others for
+concurrent orders. An executor accepts 64 from all hosts together."""
 
 KEEP_ALIVE_S = 60.0
-"""Idle time after which a connection is closed; each new one costs a handshake."""
+"""Time after which an idle connection is closed, in seconds; each new one costs a handshake."""
 
 NOT_READY_NOTICE_S = 2.6
-"""Time for the balancer to see that we are not ready: it asks once a second and
-gives up after two misses."""
+"""Time for the balancer to notice that the host is not ready, in seconds: it checks once a
+second and removes a host after two failed checks."""
 
-DRAIN_SHARE = 0.75
-"""Share of the grace time after which the process ends, whatever is in flight."""
+MAX_DRAIN_SHARE = 0.75
+"""Share of the grace period after which the process ends regardless of requests in flight."""
 
 METRICS_PORT = 9464
-"""Port of the metrics, as deploy/system.toml names it: the one that exporters use by
-convention, outside of what a day assigns."""
+"""Port of the metrics endpoint, also set in deploy/system.toml: the conventional port of
+exporters, which is not among the ports that a deployment assigns."""
 
 METRICS_PATH = "/metrics"
 
 
 class HostDaemon:
-    """Runs one host as a process.
+    """Process that runs one host.
 
     Args:
-        settings: The host's settings.
-        path: Where they were read from, to read them again.
+        settings: Settings of the host.
+        path: Path of the settings, for reloads.
         loaded_s: Time that the program took to load, in seconds.
     """
 
@@ -86,7 +86,7 @@
             loop.add_signal_handler(name, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         connector = aiohttp.TCPConnector(
-            limit=0, limit_per_host=CONNECTIONS_PER_PEER, keepalive_timeout=KEEP_ALIVE_S
+            limit=0, limit_per_host=MAX_CONNECTIONS_PER_PEER, keepalive_timeout=KEEP_ALIVE_S
         )
         session = aiohttp.ClientSession(
             connector=connector,
@@ -109,40 +109,40 @@
             loaded_s=self._loaded_s,
         )
         self._host = host
-        callers = Listener(host.front.handle, on_drop=self._on_drop)
+        callers = Listener(host.front.handle, on_drop=self._log_dropped_caller)
         listeners = [
             await callers.open(settings.callers),
             await Listener(self._answer_readiness).open(settings.readiness),
         ]
         listeners += await self._listen_for_scrapers()
         self._log.write(Event.LISTENING, callers=settings.callers, readiness=settings.readiness)
-        # What start-up made stays: the collector need not look at it again.
+        # Objects from start-up stay alive; freezing spares the collector from scanning them.
         gc.freeze()
         await self._run(host, callers)
         for listener in listeners:
             await listener.close()
 
     async def _run(self, host: Host, callers: Listener) -> None:
-        work = asyncio.create_task(host.run())
+        run = asyncio.create_task(host.run())
         stop = asyncio.create_task(self._stop.wait())
-        done, _ = await asyncio.wait([work, stop], return_when=asyncio.FIRST_COMPLETED)
-        if work in done and (error := work.exception()):
+        done, _ = await asyncio.wait([run, stop], return_when=asyncio.FIRST_COMPLETED)
+        if run in done and (error := run.exception()):
             self._log.write(Event.CRASHED, task="host", error=format_error(error))
         if stop in done:
             grace_s = self._settings.bounds.grace_s
-            limit_s = DRAIN_SHARE * grace_s
+            limit_s = MAX_DRAIN_SHARE * grace_s
             notice_s = min(NOT_READY_NOTICE_S, limit_s)
             await host.drain(notice_s=notice_s, limit_s=limit_s, refuse_new=callers.refuse_new)
-        for task in (work, stop):
+        for task in (run, stop):
             task.cancel()
-        await asyncio.gather(work, stop, return_exceptions=True)
+        await asyncio.gather(run, stop, return_exceptions=True)
 
     async def _listen_for_scrapers(self) -> list[Listener]:
         listener = Listener(self._answer_readiness)
         try:
             return [await listener.open(f"{self._settings.ip}:{METRICS_PORT}")]
         except OSError as error:
-            # The readiness address serves them, too.
+            # The readiness address serves the metrics, too.
             self._log.write(Event.METRICS_UNSERVED, port=METRICS_PORT, error=str(error))
             return []
 
@@ -154,11 +154,11 @@
             return web.Response(status=404)
         return web.Response(status=200 if self._host.ready else 503)
 
-    def _on_drop(self, reason: str) -> None:
+    def _log_dropped_caller(self, reason: str) -> None:
         self._log.write(Event.CALLER_DROPPED, reason=reason)
 
     def _reload(self) -> None:
-        """Read the settings again; addresses and halls take a restart to change."""
+        """Validate the settings again and log whether they changed; changes need a restart."""
         try:
             settings = read_settings(self._path)
         except SettingsError as error:
@@ -173,7 +173,7 @@
         executors=lambda token: ExecutorClient(session, token),
         machines=MachineClient(session, settings.machines) if settings.machines else None,
         policy=AdviceClient(session, settings.advice) if settings.advice else None,
-        bodies=JsonCallerFormat(),
+        caller_format=JsonCallerFormat(),
         configuration_records=CONFIG_RECORDS,
         configuration_key=CONFIG_KEY,
         executor_records=EXECUTOR_RECORDS,
--- a/src/linkspan/host/front.py
+++ b/src/linkspan/host/front.py
@@ -1,4 +1,4 @@
-"""Callers' side of a host: submit, ask, cancel, count."""
+"""Request handler for callers: submits, shows, cancels and counts jobs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from linkspan.clock import steady
 from linkspan.errors import InvalidInput, ProducerFenced, StoreRefused
 from linkspan.events import Event
-from linkspan.host._impossible import oversized_step
+from linkspan.host._oversized import oversized_step
 from linkspan.host.caller_waits import MIN_WAIT_S, CallerWaits
 from linkspan.jobs.job_registry import MAX_REFRESH_WAIT_S
 from linkspan.jobs.records import Cancelled, JobState, Submitted
@@ -31,61 +31,61 @@
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 
 RETRY_AFTER_S = 1
-"""Time after which a caller that was refused may come back: outages of the store
-last seconds, and a host that lost it alone is out of the balancer by then."""
+"""Time after which a refused caller may retry, in seconds. Outages of the store last seconds.
+If only this host has lost the store, the balancer has removed it by then."""
 
 OVERSIZED_RETRY_AFTER_S = 60
-"""Time after which a caller may come back with a job that no executor is large enough
-for: a larger one would have to be added first, which takes a minute and more."""
+"""Time after which a caller may retry a job that no executor is large enough for, in seconds:
+adding a larger executor takes a minute or more."""
 
-PROMPT_BODY_S = 1.0
-"""Time after which a body that is still on its way holds up no drain. The largest that is
-taken by default (262,144 bytes) needs 0.42 s over a link of 5 Mbit/s."""
+MAX_BODY_DRAIN_S = 1.0
+"""Limits the time for which a drain waits for the rest of a request body, in seconds. The largest
+body accepted by default (262,144 bytes) takes 0.42 s over a link of 5 Mbit/s."""
 
 
-ASK_SHARE = 0.5
-"""Share of a caller's time for which an answer waits for the job records to be read; in
-the rest the caller can ask another host, which may have read them."""
+READ_WAIT_SHARE = 0.5
+"""Share of the caller's timeout that a request may wait for the job records to be read. In the
+remaining time the caller can ask another host, which may have read them."""
 
-ASK_LIMIT_S = 2.0
-"""Longest such wait, whatever the caller grants: a store that is well takes 20 ms."""
+MAX_READ_WAIT_S = 2.0
+"""Limits that wait regardless of the caller's timeout, in seconds; a healthy store takes 20 ms."""
 
-COUNT_AGE_S = 3.0
-"""Age up to which a count of waiting jobs is given: the time in which an accepted job is
-to be seen on every host."""
+MAX_COUNT_AGE_S = 3.0
+"""Limits the age of the job records from which waiting jobs are counted, in seconds: an accepted
+job must be visible on every host within this time."""
 
 
 class CallerFormat(Protocol):
-    """Form of what callers send and get."""
+    """Format of the requests and responses of callers."""
 
     timeout_header: str
 
     def job(self, job_id: str, queue: str, body: bytes) -> JobSpec:
-        """Return the job of a body.
+        """Parse the body of a submission.
 
         Raises:
-            InvalidInput: It is no valid job.
+            InvalidInput: The body is not a valid job.
         """
 
     def state(self, state: JobState) -> bytes:
-        """Return the answer to a question for a job's state."""
+        """Return the response body for the state of a job."""
 
     def waiting(self, count: int) -> bytes:
-        """Return the answer to a question for a queue's waiting jobs."""
+        """Return the response body for the number of waiting jobs of a queue."""
 
 
 class Front:
-    """Answers callers.
+    """Handler of the requests of callers.
 
     Args:
-        job_registry: The jobs.
-        configuration: The configuration in force.
-        form: Form of bodies.
-        choose_shard: Names the shard for a new job.
-        capacities: Returns the sizes of a service's executors seen so far.
-        incarnation: Life of this process, a part of its records' keys.
-        log: Where events go.
-        metrics: Where counts and times go.
+        job_registry: Registry of all jobs.
+        configuration: Watch that provides the configuration in force.
+        form: Format of request and response bodies.
+        choose_shard: Returns the shard for a new job.
+        capacities: Returns the known capacities of a service's executors.
+        incarnation: Incarnation of this process, part of the keys of its records.
+        log: Event log.
+        metrics: Metrics of the host.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._metrics = metrics
         self._submitting: dict[str, asyncio.Future[int]] = {}
         self._in_flight = 0
-        self._receiving: list[float] = []
+        self._body_reads: list[float] = []
         self._waits = CallerWaits()
 
     def __repr__(self) -> str:
@@ -118,27 +118,27 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are not answered yet, without those whose body is long in coming."""
-        limit = steady() - PROMPT_BODY_S
-        return self._in_flight - sum(began < limit for began in self._receiving)
+        """Number of unanswered requests, except those whose body is slow to arrive."""
+        limit = steady() - MAX_BODY_DRAIN_S
+        return self._in_flight - sum(started_at < limit for started_at in self._body_reads)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle a request."""
         self._in_flight += 1
         try:
-            answer = await self._answer(request)
+            response = await self._respond(request)
         finally:
             self._in_flight -= 1
-        self._metrics.count("calls", kind=request.method, status=str(answer.status))
+        self._metrics.count("calls", kind=request.method, status=str(response.status))
         if self._waits.draining:
-            answer.force_close()
-        return answer
+            response.force_close()
+        return response
 
     def drain(self, until: float) -> None:
-        """Answer all that waits before a steady time, and have callers go elsewhere."""
+        """Answer waiting requests before a steady time and close connections after responses."""
         self._waits.drain(until)
 
-    async def _answer(self, request: web.BaseRequest) -> web.Response:
+    async def _respond(self, request: web.BaseRequest) -> web.Response:
         configuration = self._configuration.current
         if configuration is None:
             return _unavailable("no configuration yet")
@@ -152,9 +152,9 @@
             return _json(404, b'{"error":"a job id is 16 hex digits"}')
         deadline = self._deadline(request, queue)
         if request.method == "POST":
-            body = await self._receive(request, deadline)
+            body = await self._read_body(request, deadline)
             if body is None:
-                return self._give_up_half(job_id, queue)
+                return self._refuse_incomplete(job_id, queue)
             return await self.submit(queue, job_id, body, deadline)
         if request.method == "GET":
             return await self.show(job_id, deadline)
@@ -162,39 +162,43 @@
             return await self.cancel(job_id, deadline)
         return _json(405, b'{"error":"use GET, POST or DELETE"}')
 
-    async def _receive(self, request: web.BaseRequest, deadline: float) -> bytes | None:
-        """Return a request's body, ``None`` if it is not there whole by a steady time.
+    async def _read_body(self, request: web.BaseRequest, deadline: float) -> bytes | None:
+        """Return the body of a request, ``None`` if it is incomplete at a steady time.
 
-        A connection may go silent for good in the middle of it.
+        The connection may go silent for good in the middle of the body.
         """
-        began = steady()
-        self._receiving.append(began)
+        started_at = steady()
+        self._body_reads.append(started_at)
         try:
             async with self._waits.until(deadline):
                 return await request.read()
         except TimeoutError:
             return None
         finally:
-            self._receiving.remove(began)
+            self._body_reads.remove(started_at)
 
-    def _give_up_half(self, job_id: str, queue: Queue) -> web.Response:
-        answer = self._refuse(job_id, queue, "request did not arrive whole")
-        answer.force_close()
-        return answer
+    def _refuse_incomplete(self, job_id: str, queue: Queue) -> web.Response:
+        response = self._refuse(job_id, queue, "request did not arrive whole")
+        response.force_close()
+        return response
 
     def _deadline(self, request: web.BaseRequest, queue: Queue) -> float:
-        """Return the steady time by which an answer is to be given."""
-        given = request.headers.get(self._form.timeout_header, "")
-        return self._waits.deadline(int(given) / 1000 if given.isdecimal() else queue.timeout_s)
+        """Return the steady time by which to answer a request."""
+        timeout_ms = request.headers.get(self._form.timeout_header, "")
+        return self._waits.deadline(
+            int(timeout_ms) / 1000 if timeout_ms.isdecimal() else queue.timeout_s
+        )
 
     async def submit(self, queue: Queue, job_id: str, body: bytes, deadline: float) -> web.Response:
-        """Keep a job and answer once it is kept, or say that it will not run.
+        """Store a job and answer once it is durable, or refuse it.
+
+        A refused job will not run. After a timeout the outcome is unknown.
 
         Args:
-            queue: The job's queue.
-            job_id: The caller's id of the job.
-            body: The job as sent.
-            deadline: Steady time by which the caller wants an answer.
+            queue: Queue of the job.
+            job_id: Id that the caller chose.
+            body: Body of the request.
+            deadline: Steady time by which to answer.
         """
         if self._job_registry.knows(job_id):
             self._log.write(Event.JOB_ACCEPTED, job=job_id, queue=queue.name, known=True)
@@ -206,7 +210,7 @@
         write = self._submitting.get(job_id)
         if write is None:
             if not self._job_registry.follower.ready:
-                # Another host may have accepted it, for another hall.
+                # Another host may already have accepted the job for another hall.
                 return self._refuse(job_id, queue, "job records not read yet")
             if not self._job_registry.accepts_writes:
                 return self._refuse(job_id, queue, "store is away")
@@ -218,23 +222,23 @@
 
     def _start_write(self, spec: JobSpec, queue: Queue) -> asyncio.Future[int]:
         shard = self._choose_shard(spec, queue)
-        version = self._version_of(queue)
+        version = self._configuration_version(queue)
         record = Submitted(spec, shard, time.time(), self._incarnation, queue.terms, version)
         write = self._job_registry.write([record], retry_refused=False)
         self._submitting[spec.job_id] = write
         write.add_done_callback(lambda done: self._on_written(spec.job_id, done))
         return write
 
-    def _version_of(self, queue: Queue) -> int | None:
-        """Return the version of the configuration that a queue is of, if it still is in force."""
+    def _configuration_version(self, queue: Queue) -> int | None:
+        """Return the version of the current configuration, ``None`` if the queue has changed."""
         current = self._configuration.current
-        known = current and current.queues.get(queue.name) == queue
-        return current.version if current and known else None
+        unchanged = current and current.queues.get(queue.name) == queue
+        return current.version if current and unchanged else None
 
     def _on_written(self, job_id: str, done: asyncio.Future[int]) -> None:
-        """Know of an own record at once, so that the job is not written again.
+        """Remember a written job at once, so that this host does not write it again.
 
-        A second record under the same key would hide the first, which may name another
+        A second submission under the same key would hide the first one, which may name another
         shard, from hosts that start later.
         """
         self._submitting.pop(job_id, None)
@@ -244,7 +248,7 @@
     async def _await_write(
         self, write: asyncio.Future[int], job_id: str, queue: Queue, deadline: float
     ) -> web.Response:
-        began = steady()
+        started_at = steady()
         try:
             async with self._waits.until(deadline):
                 offset = await asyncio.shield(write)
@@ -257,16 +261,16 @@
                 Event.JOB_IN_DOUBT,
                 job=job_id,
                 queue=queue.name,
-                waited_s=round(steady() - began, 3),
+                waited_s=round(steady() - started_at, 3),
             )
             return _json(504, b'{"error":"not known yet whether the job is kept"}')
-        self._metrics.observe("accept", steady() - began)
+        self._metrics.observe("accept", steady() - started_at)
         self._log.write(
             Event.JOB_ACCEPTED,
             job=job_id,
             queue=queue.name,
             offset=offset,
-            waited_s=round(steady() - began, 3),
+            waited_s=round(steady() - started_at, 3),
             version=self._configuration.current and self._configuration.current.version,
         )
         return _json(200, b"{}")
@@ -278,18 +282,18 @@
     def _refuse_oversized(self, job_id: str, queue: Queue, step: int) -> web.Response:
         reason = f"tasks of step {step} are larger than any executor of the service"
         self._log.write(Event.JOB_REFUSED, job=job_id, queue=queue.name, reason=reason)
-        answer = _json(429, b'{"error":"not taken, it will not run"}', reason=reason)
-        answer.headers["Retry-After"] = str(OVERSIZED_RETRY_AFTER_S)
-        return answer
+        response = _json(429, b'{"error":"not taken, it will not run"}', reason=reason)
+        response.headers["Retry-After"] = str(OVERSIZED_RETRY_AFTER_S)
+        return response
 
     async def show(self, job_id: str, deadline: float = math.inf) -> web.Response:
-        """Answer a question for a job's state.
+        """Respond with the state of a job.
 
         Args:
             job_id: The job.
-            deadline: Steady time by which the caller wants an answer.
+            deadline: Steady time by which to answer.
         """
-        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_wait_until(deadline))
+        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_read_wait_s(deadline))
         if entry:
             return _json(200, self._form.state(entry.state))
         if not fresh:
@@ -299,8 +303,8 @@
         return _json(410, b'{"error":"no such job"}')
 
     async def cancel(self, job_id: str, deadline: float) -> web.Response:
-        """Cancel a job and answer once that is kept."""
-        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_wait_until(deadline))
+        """Cancel a job and answer once the cancellation is durable."""
+        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_read_wait_s(deadline))
         if entry is None:
             return _json(410, b"{}") if fresh else _unavailable("job records not read to their end")
         if entry.state.final:
@@ -318,25 +322,26 @@
         return _json(200, b"{}")
 
     async def count(self, queue: Queue, deadline: float = math.inf) -> web.Response:
-        """Answer how many jobs of a queue wait.
+        """Respond with the number of waiting jobs of a queue.
 
         Args:
             queue: The queue.
-            deadline: Steady time by which the caller wants an answer.
+            deadline: Steady time by which to answer.
         """
-        await self._job_registry.refresh(limit_s=min(_wait_until(deadline), MAX_REFRESH_WAIT_S))
-        if steady() - self._job_registry.follower.synced_at > COUNT_AGE_S:
+        await self._job_registry.refresh(limit_s=min(_read_wait_s(deadline), MAX_REFRESH_WAIT_S))
+        if steady() - self._job_registry.follower.synced_at > MAX_COUNT_AGE_S:
             return _unavailable("job records not read lately")
         return _json(200, self._form.waiting(self._job_registry.catalog.waiting(queue.name)))
 
 
-def _wait_until(deadline: float) -> float:
-    """Return how long an answer may wait for the job records, in seconds."""
-    left = ASK_SHARE * (deadline - steady())
-    return max(min(left, ASK_LIMIT_S), MIN_WAIT_S)
+def _read_wait_s(deadline: float) -> float:
+    """Return how long a request may wait for the job records, in seconds."""
+    share_s = READ_WAIT_SHARE * (deadline - steady())
+    return max(min(share_s, MAX_READ_WAIT_S), MIN_WAIT_S)
 
 
 def _host_name(request: web.BaseRequest) -> str:
+    """Return the ``Host`` header without the port."""
     name, _, port = (request.headers.get("Host") or "").rpartition(":")
     return name if name and port.isdecimal() else f"{name}:{port}" if name else port
 
@@ -347,6 +352,6 @@
 
 
 def _unavailable(reason: str) -> web.Response:
-    answer = _json(503, b'{"error":"not taken, it will not run"}', reason=reason)
-    answer.headers["Retry-After"] = str(RETRY_AFTER_S)
-    return answer
+    response = _json(503, b'{"error":"not taken, it will not run"}', reason=reason)
+    response.headers["Retry-After"] = str(RETRY_AFTER_S)
+    return response
--- a/src/linkspan/host/host.py
+++ b/src/linkspan/host/host.py
@@ -1,4 +1,4 @@
-"""One host without its sockets: entry, job records, ownership, all in one loop."""
+"""One host without its sockets: callers, job records and shard ownership in one event loop."""
 
 from __future__ import annotations
 
@@ -33,53 +33,55 @@
     from linkspan.shard.tenure import Executors, Tenure
     from linkspan.store.types import Partition, Store
 
-OWNER_LISTING_PAUSE_S = 0.5
-"""Pause between readings of the executors' registrations where this host owns a
-shard: an executor that drains is to be left within two seconds."""
+OWNER_EXECUTORS_PAUSE_S = 0.5
+"""Pause between reads of the executors' registrations while this host owns a shard, in seconds:
+tasks must leave a draining executor within two seconds."""
 
 OWNER_JOBS_PAUSE_S = 0.02
-"""Pause between readings of the job records by an owner: jobs are to start within
-tens of milliseconds."""
+"""Pause between reads of the job records while this host owns a shard, in seconds: jobs must
+start within tens of milliseconds."""
 
 JOBS_PAUSE_S = 1.0
-"""The same elsewhere; callers' questions read at once."""
+"""Pause between reads of the job records while this host owns no shard, in seconds. Requests of
+callers trigger reads of their own."""
 
-STORE_LOST_S = 1.5
-"""Time without the store after which this host calls itself not ready: the
-balancer's own limit is two seconds of silence."""
+MAX_STORE_SILENCE_S = 1.5
+"""Limits the time without an answer of the store after which the host reports itself not ready,
+in seconds. The balancer itself removes a host after two seconds of silence."""
 
-ADAPT_S = 0.1
-"""Time between checks of what this host owns and knows."""
+ADJUST_INTERVAL_S = 0.1
+"""Interval between adjustments to what this host owns and has read, in seconds."""
 
-IDLE_ADAPT_S = 0.25
-"""The same while it owns nothing and may claim: most hosts do so most of the time."""
+IDLE_ADJUST_INTERVAL_S = 0.25
+"""The same interval while the host owns no shard and may claim one, which is the state of most
+hosts most of the time."""
 
-DRAIN_TICK_S = 0.05
-"""Time between checks whether a drain is over."""
+DRAIN_CHECK_INTERVAL_S = 0.05
+"""Interval between checks whether a drain is complete, in seconds."""
 
 
 @dataclass(frozen=True)
 class Adapter:
-    """What a host needs of the platform's manner of speaking.
+    """Clients and codecs with which a host accesses the platform.
 
     Attributes:
         store: The platform's store.
-        executors: Makes calls to executors under a fencing token.
-        machines: The machine service, ``None`` where there is none.
-        policy: The placement policies' service, ``None`` where there is none.
-        bodies: Form of what callers send and get.
-        configuration_records: Where the operator writes.
-        configuration_key: Key of the configuration there.
-        executor_records: Where executors register themselves.
-        decode_configuration: Decodes the operator's record.
-        decode_executor: Decodes an executor's record.
+        executors: Returns a client of the executors for a fencing token.
+        machines: Client of the machine service, ``None`` if there is none.
+        policy: Client of the placement policy service, ``None`` if there is none.
+        caller_format: Format of the requests and responses of callers.
+        configuration_records: Partition that the operator writes the configuration to.
+        configuration_key: Key of the configuration in that partition.
+        executor_records: Partition in which executors register.
+        decode_configuration: Decodes a configuration record.
+        decode_executor: Decodes a registration of an executor.
     """
 
     store: Store
     executors: Callable[[int], Executors]
     machines: MachineService | None
     policy: PolicyService | None
-    bodies: CallerFormat
+    caller_format: CallerFormat
     configuration_records: Partition
     configuration_key: bytes
     executor_records: Partition
@@ -88,14 +90,14 @@
 
 
 class Host:
-    """Everything that one host decides and keeps.
+    """One host: its caller interface, its views of the store and its shard candidates.
 
     Args:
-        settings: The host's settings.
-        adapter: The platform.
-        incarnation: Life of this process.
-        log: Where events go.
-        metrics: Where counts and times go.
+        settings: Settings of the host.
+        adapter: Access to the platform.
+        incarnation: Incarnation of this process.
+        log: Event log.
+        metrics: Metrics of the host.
         loaded_s: Time that the program took to load, in seconds.
     """
 
@@ -150,14 +152,14 @@
         self.front = Front(
             self.job_registry,
             self.configuration,
-            adapter.bodies,
+            adapter.caller_format,
             choose_shard=ShardChooser(settings, self._summary_of).choose,
             capacities=self._sizes.of,
             incarnation=incarnation,
             log=log,
             metrics=metrics,
         )
-        self.executor_registry.follower.pause_s = OWNER_LISTING_PAUSE_S
+        self.executor_registry.follower.pause_s = OWNER_EXECUTORS_PAUSE_S
         self.executor_registry.pause()
         self.executor_registry.on_change = self._on_executors
         self.configuration.subscribe(lambda _configuration: self._on_executors())
@@ -166,25 +168,25 @@
         return f"Host({self._settings.name!r})"
 
     @property
-    def knows_all(self) -> bool:
-        """Whether the configuration and the jobs were read once."""
+    def caught_up(self) -> bool:
+        """Whether the configuration and all job records have been read."""
         return self.configuration.current is not None and self.job_registry.follower.ready
 
     @property
     def ready(self) -> bool:
-        """Whether callers are served best here."""
+        """Whether the balancer should send callers to this host."""
         home = self.candidates[self._settings.shard]
         return (
             not self._draining
-            and self.knows_all
-            and steady() - home.last_response_at < STORE_LOST_S
+            and self.caught_up
+            and steady() - home.last_response_at < MAX_STORE_SILENCE_S
         )
 
     async def run(self) -> None:
         """Run until cancelled.
 
         Raises:
-            ExceptionGroup: A task ended by an error.
+            ExceptionGroup: A task failed.
         """
         async with asyncio.TaskGroup() as group:
             group.create_task(self.configuration.follower.run())
@@ -192,7 +194,7 @@
             group.create_task(self.job_registry.writer.run())
             group.create_task(self.executor_registry.follower.run())
             group.create_task(self.executor_registry.expire_loop())
-            group.create_task(self._adapt())
+            group.create_task(self._adjust_loop())
             for candidate in self.candidates:
                 group.create_task(candidate.run())
 
@@ -203,30 +205,30 @@
         limit_s: float,
         refuse_new: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
-        """Leave the balancer, hand shards on and finish what is in flight.
+        """Leave the balancer, hand off shards and finish the requests in flight.
 
         Args:
-            notice_s: Time for the balancer to see that this host is not ready.
-            limit_s: Longest time that all of it may take; what waits for the store is
-                answered by then.
-            refuse_new: Called after the notice; from then on no request may come in, so
-                that what is in flight runs dry.
+            notice_s: Time for the balancer to notice that this host is not ready, in seconds.
+            limit_s: Maximum time for the whole drain, in seconds; requests that wait for the
+                store are answered by then.
+            refuse_new: Called after the notice time to stop accepting requests, so that those in
+                flight can run out.
         """
-        began = steady()
+        started_at = steady()
         self._draining = True
-        self.front.drain(until=began + limit_s)
+        self.front.drain(until=started_at + limit_s)
         self._log.write(Event.DRAINING, in_flight=self.front.in_flight)
         await asyncio.gather(*(candidate.hand_off() for candidate in self.candidates))
-        await asyncio.sleep(began + notice_s - steady())
+        await asyncio.sleep(started_at + notice_s - steady())
         if refuse_new:
             await refuse_new()
-        # What was read just now counts as in flight a moment later.
-        await asyncio.sleep(DRAIN_TICK_S)
-        while self.front.in_flight and steady() < began + limit_s:
-            await asyncio.sleep(DRAIN_TICK_S)
+        # A request that has just been read is counted as in flight a moment later.
+        await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+        while self.front.in_flight and steady() < started_at + limit_s:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     def _make_tenure(self, owner: Owner, shard: int, claim: Claim) -> Tenure:
-        # Most hosts never own a shard; each start of theirs would load all that it takes.
+        # Imported on demand: most hosts never own a shard, and the import would slow each start.
         from linkspan.shard.tenure import Tenure
 
         tenure = Tenure(
@@ -249,9 +251,9 @@
         if not self._follows_executors:
             self._follows_executors = True
             self.executor_registry.resume()
-        # Also of this hall itself: a new owner goes on with what its predecessor told.
-        for told in range(len(self._settings.halls)):
-            if summary := self._summary_of(told):
+        # Includes the tenure's own hall: a new owner continues from the previous owner's summary.
+        for other in range(len(self._settings.halls)):
+            if summary := self._summary_of(other):
                 tenure.adopt(summary)
         return tenure
 
@@ -262,29 +264,35 @@
     def _summary_of(self, shard: int) -> HallSummary | None:
         return self.candidates[shard].view.summary
 
-    async def _adapt(self) -> None:
-        """Read often where a decision waits for it, seldom elsewhere, to save calls."""
+    async def _adjust_loop(self) -> None:
+        """Adjust read intervals to whether this host owns a shard, and enable claims.
+
+        Owners read often, since decisions wait for the records; other hosts read seldom, to save
+        calls to the store.
+        """
         while True:
             owning = any(candidate.tenure for candidate in self.candidates)
             self.job_registry.follower.pause_s = OWNER_JOBS_PAUSE_S if owning else JOBS_PAUSE_S
             if not owning and self._follows_executors:
                 self._follows_executors = False
                 self.executor_registry.pause()
-            may_claim = self.knows_all and not self._draining
+            may_claim = self.caught_up and not self._draining
             if may_claim:
                 for candidate in self.candidates:
                     candidate.enable()
-            await self._rest(IDLE_ADAPT_S if may_claim and not owning else ADAPT_S)
+            await self._sleep_and_measure(
+                IDLE_ADJUST_INTERVAL_S if may_claim and not owning else ADJUST_INTERVAL_S
+            )
 
-    async def _rest(self, pause_s: float) -> None:
-        """Sleep, and observe by how much that takes too long."""
-        began = steady()
+    async def _sleep_and_measure(self, pause_s: float) -> None:
+        """Sleep, and record by how much the sleep overran."""
+        started_at = steady()
         await asyncio.sleep(pause_s)
-        self._slowness.note_lag(steady() - began - pause_s)
+        self._slowness.record_lag(steady() - started_at - pause_s)
 
     def _on_summary(self, shard: int, summary: HallSummary) -> None:
-        """Take in what a hall tells, and have the shards of this host learn from it."""
-        self._sizes.note(shard, summary)
+        """Apply the summary of a hall to the known capacities and this host's tenures."""
+        self._sizes.add_summary(shard, summary)
         for candidate in self.candidates:
             if candidate.tenure:
                 candidate.tenure.adopt(summary)
--- a/src/linkspan/host/listener.py
+++ b/src/linkspan/host/listener.py
@@ -1,4 +1,4 @@
-"""A host's listeners."""
+"""HTTP listeners of a host."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
     from linkspan.host.connections import CallerConnection
 
-BACKLOG = 1024
-"""Connections that wait to be accepted: a balancer may open hundreds at once."""
+MAX_BACKLOG = 1024
+"""Limits connections that wait to be accepted: a balancer may open hundreds at once."""
 
-STOP_S = 0.25
-"""Time for answers that are being written when a listener ends, and once more for what
-is given up then. Whole requests were waited for before."""
+SHUTDOWN_TIMEOUT_S = 0.25
+"""Time for responses that are being written when a listener closes, in seconds, and the same
+again for cancelled handlers. A drain has waited for the requests in flight before."""
 
 
-CLOSE_TICK_S = 0.01
-"""Time between looks for idle connections while a listener takes nothing new."""
+CLOSE_CHECK_INTERVAL_S = 0.01
+"""Interval between checks for idle connections while a listener refuses requests, in seconds."""
 
 
 class Listener:
-    """Serves HTTP at one address.
+    """HTTP server at one address.
 
     Args:
-        handler: Answers a request.
-        on_drop: Called with the reason when a connection that went silent is closed.
+        handler: Handles a request.
+        on_drop: Called with the reason when the server drops a connection.
     """
 
     def __init__(
@@ -41,46 +41,46 @@
         on_drop: Callable[[str], None] = lambda _reason: None,
     ) -> None:
         self._server = CallerServer(handler, on_drop=on_drop)
-        self._runner = web.ServerRunner(self._server, shutdown_timeout=STOP_S)
+        self._runner = web.ServerRunner(self._server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
 
     def __repr__(self) -> str:
         return f"Listener({self.addresses!r})"
 
     @property
     def addresses(self) -> list[Any]:
-        """Where it listens, as the system names sockets."""
+        """Addresses of the listening sockets, as returned by ``getsockname``."""
         return self._runner.addresses
 
     @property
     def connections(self) -> list[CallerConnection]:
-        """Callers' open connections."""
+        """Open connections of callers."""
         return self._server.caller_connections
 
     async def open(self, address: str) -> Self:
         """Listen at an ``ip:port``.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         host, _, port = address.rpartition(":")
         await self._runner.setup()
-        await web.TCPSite(self._runner, host, int(port), backlog=BACKLOG).start()
+        await web.TCPSite(self._runner, host, int(port), backlog=MAX_BACKLOG).start()
         return self
 
     async def refuse_new(self) -> None:
-        """Take no connection and no request from now on; what was read whole goes on.
+        """Refuse new connections and requests; requests that are being read are still answered.
 
-        Callers that keep coming would otherwise have a request in flight at any moment,
-        also at the one at which the process ends.
+        With a steady stream of callers there would otherwise always be a request in flight,
+        also when the process ends.
         """
         for site in list(self._runner.sites):
             await site.stop()
         self._server.pre_shutdown()
-        # One that was accepted just now waits for its first request a moment later.
+        # A connection that has just been accepted becomes idle a moment later.
         while any(connection.idle for connection in self.connections):
-            await asyncio.sleep(CLOSE_TICK_S)
+            await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
             self._server.pre_shutdown()
 
     async def close(self) -> None:
-        """Close all connections and stop listening."""
+        """Stop listening and close all connections."""
         await self._runner.cleanup()
--- a/src/linkspan/host/shards.py
+++ b/src/linkspan/host/shards.py
@@ -1,4 +1,4 @@
-"""Which shard a new job lives in."""
+"""Chooses the shard for each new job."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
     from linkspan.shard.handover.summary import HallSummary
     from linkspan.shard.messages import ExecutorKind
 
-STALE_S = 2.5
-"""Time for which own choices are counted on top of a hall's summary, which is up to
-that old."""
+RECENT_CHOICE_S = 2.5
+"""Time for which choices of this host count on top of a hall's summary, in seconds: the summary
+may be that old and not include them yet."""
 
 IMAGE_WEIGHT = 0.1
-"""Weight of the part of a hall's standing tasks that have the same image against its
-free part: what gathers disturbs fewer kinds of best-effort work, but room comes first."""
+"""Weight of the share of a hall's standing tasks with the job's images, relative to the hall's
+free share. Gathering tasks of one image causes interference with fewer kinds of best-effort work,
+but free capacity matters more."""
 
 WAITING_WEIGHT = 0.5
-"""Weight of the part of a hall that best-effort work uses or waits for, against the
-pressure that a job would add there."""
+"""Weight of the share of a hall that best-effort work uses or waits for, relative to the
+interference that the job would cause there."""
 
 LOCAL_BONUS = 0.05
-"""Advantage of the own hall: its callers still reach it when it is cut off."""
+"""Score bonus of this host's hall, whose callers still reach it when the hall is cut off."""
 
 
-ABLE = 100
-"""Weight of a step that a hall can run against one whose data it has beside."""
+RUNNABLE_STEP_SCORE = 100
+"""Score of a step that a hall can run, relative to 1 for having the step's data in the rack."""
 
 
 class _Kind(Enum):
-    """Kind of work by which a job's hall is chosen."""
+    """Kind of work, which determines how the hall of a job is chosen."""
 
     SHORT = "short"
     STANDING = "standing"
@@ -47,12 +48,12 @@
 
 
 class _Choice(NamedTuple):
-    """A choice that the summaries may not show yet.
+    """A recent choice that the summaries may not include yet.
 
     Attributes:
         at: Steady time of the choice.
         shard: The chosen shard.
-        milli_cpu: Thousandths of a core that the job's widest step asks for.
+        milli_cpu: CPU demand of the job's widest step, in thousandths of a core.
         kind: Kind of the job's work.
     """
 
@@ -63,15 +64,15 @@
 
 
 class ShardChooser:
-    """Chooses the hall where a job is served best.
+    """Chooser of the hall for each new job.
 
-    Short tasks stay in the own hall while it has room. Standing tasks gather by image,
-    so that each hall leaves some kind of best-effort work in peace; best-effort work
-    goes where it disturbs least and waits least.
+    Short jobs stay in this host's hall while it has free capacity. Standing jobs gather by image,
+    so that each hall has some kind of best-effort work without interference. Best-effort jobs go
+    where they cause the least interference and wait the least.
 
     Args:
-        settings: The host's settings.
-        summary_of: Returns what a shard's owner last told, ``None`` if nothing.
+        settings: Settings of the host.
+        summary_of: Returns the last summary that the owner of a shard published, ``None`` if none.
     """
 
     def __init__(
@@ -88,81 +89,87 @@
 
     def choose(self, spec: JobSpec, queue: Queue) -> int:
         """Return the number of the shard for a new job."""
-        able = self._able(spec, queue)
-        if len(able) == 1:
-            return able[0]
+        shards = self._eligible_shards(spec, queue)
+        if len(shards) == 1:
+            return shards[0]
         kind = _kind_of(spec)
         if kind is _Kind.SHORT:
-            chosen = self._with_room(spec, able)
+            chosen = self._first_with_capacity(spec, shards)
         else:
             score = self._standing_score if kind is _Kind.STANDING else self._best_effort_score
-            chosen = max(able, key=lambda shard: score(spec, shard))
+            chosen = max(shards, key=lambda shard: score(spec, shard))
         self._choices.append(_Choice(steady(), chosen, _milli_cpu(_widest(spec)), kind))
         return chosen
 
-    def _with_room(self, spec: JobSpec, able: list[int]) -> int:
-        """Return the first shard with room for the job's widest step, the own one first."""
+    def _first_with_capacity(self, spec: JobSpec, shards: list[int]) -> int:
+        """Return the first shard with capacity for the job's widest step, or the first of all."""
         widest = _widest(spec)
-        for shard in able:
+        for shard in shards:
             summary = self._usable_summary(shard)
             if summary is None:
                 continue
-            free = summary.free - summary.queued - self._chosen_lately(shard, _Kind.SHORT)
+            free = summary.free - summary.queued - self._recently_chosen_cpu(shard, _Kind.SHORT)
             if summary.slots(widest.demand) >= widest.count and free >= _milli_cpu(widest):
                 return shard
-        return able[0]
+        return shards[0]
 
-    def _able(self, spec: JobSpec, queue: Queue) -> list[int]:
-        """Return the shards whose executors can run most of the job, the own one first."""
-        own = self._settings.shard
-        shards = [own, *(s for s in range(len(self._settings.halls)) if s != own)]
-        scores = {shard: self._ability(spec, queue.service, shard) for shard in shards}
+    def _eligible_shards(self, spec: JobSpec, queue: Queue) -> list[int]:
+        """Return the shards whose executors can run most of the job, this host's hall first."""
+        home = self._settings.shard
+        shards = [home, *(s for s in range(len(self._settings.halls)) if s != home)]
+        scores = {shard: self._eligibility(spec, queue.service, shard) for shard in shards}
         best = max(scores.values())
         return [shard for shard in shards if scores[shard] == best]
 
-    def _ability(self, spec: JobSpec, service: str, shard: int) -> int:
-        """Count the steps that a hall can run, and a little for those whose data it has.
+    def _eligibility(self, spec: JobSpec, service: str, shard: int) -> int:
+        """Return a score of how many steps a hall can run and for how many it has the data.
 
-        A hall that told nothing yet is taken for able: its owner hands over what it is not.
+        A hall without a summary counts as able to run all steps: its owner hands over jobs that
+        the hall cannot run.
         """
         summary = self._summary_of(shard)
         if summary is None or summary.kinds is None:
-            return ABLE * len(spec.steps)
+            return RUNNABLE_STEP_SCORE * len(spec.steps)
         kinds = [kind for kind in summary.kinds if kind.service == service]
-        return sum(_step_ability(step, kinds) for step in spec.steps)
+        return sum(_step_eligibility(step, kinds) for step in spec.steps)
 
     def _standing_score(self, spec: JobSpec, shard: int) -> float:
         local = self._local_bonus(shard)
         summary = self._usable_summary(shard)
         if summary is None:
             return local
-        need = _milli_cpu(_widest(spec)) + self._chosen_lately(shard, _Kind.STANDING)
-        free = (summary.free - need) / summary.capacity
+        needed = _milli_cpu(_widest(spec)) + self._recently_chosen_cpu(shard, _Kind.STANDING)
+        free = (summary.free - needed) / summary.capacity
         images = {step.image for step in spec.steps}
         total = sum(summary.standing.values())
         same = sum(n for image, n in summary.standing.items() if image in images)
-        alike = same / total if total else 0.0
-        return local + free + IMAGE_WEIGHT * alike
+        same_share = same / total if total else 0.0
+        return local + free + IMAGE_WEIGHT * same_share
 
     def _best_effort_score(self, spec: JobSpec, shard: int) -> float:
         local = self._local_bonus(shard)
         summary = self._usable_summary(shard)
         if summary is None:
             return local - 0.5
-        pressure = max(_pressure(step, summary) for step in spec.steps)
-        busy = summary.best_effort + summary.waiting + self._chosen_lately(shard, _Kind.BEST_EFFORT)
-        return local - pressure - WAITING_WEIGHT * busy / summary.capacity
+        interference = max(_interference(step, summary) for step in spec.steps)
+        busy = (
+            summary.best_effort
+            + summary.waiting
+            + self._recently_chosen_cpu(shard, _Kind.BEST_EFFORT)
+        )
+        return local - interference - WAITING_WEIGHT * busy / summary.capacity
 
     def _usable_summary(self, shard: int) -> HallSummary | None:
-        """Return a hall's summary if there is one and the hall has usable executors."""
+        """Return the summary of a hall, ``None`` if missing or without usable executors."""
         summary = self._summary_of(shard)
         return summary if summary and summary.capacity else None
 
     def _local_bonus(self, shard: int) -> float:
         return LOCAL_BONUS if shard == self._settings.shard else 0.0
 
-    def _chosen_lately(self, shard: int, kind: _Kind) -> int:
-        limit = steady() - STALE_S
+    def _recently_chosen_cpu(self, shard: int, kind: _Kind) -> int:
+        """Return the CPU demand of recent choices of a shard, in thousandths of a core."""
+        limit = steady() - RECENT_CHOICE_S
         while self._choices and self._choices[0].at < limit:
             self._choices.popleft()
         return sum(c.milli_cpu for c in self._choices if c.shard == shard and c.kind is kind)
@@ -183,20 +190,20 @@
     return step.count * step.demand.milli_cpu
 
 
-def _pressure(step: StepSpec, summary: HallSummary) -> float:
-    """Return the pressure that one task adds, averaged over a hall's standing tasks."""
+def _interference(step: StepSpec, summary: HallSummary) -> float:
+    """Return the interference that one task causes, averaged over a hall's standing tasks."""
     total = sum(summary.standing.values())
     if not step.best_effort or not total:
         return 0.0
     effects = {(e.standing, e.image): e.mean for e in summary.effects}
     cores = step.demand.milli_cpu / 1000
     return sum(
-        held / total * effects.get((standing, step.image), 0.0) * cores
-        for standing, held in summary.standing.items()
+        count / total * effects.get((standing, step.image), 0.0) * cores
+        for standing, count in summary.standing.items()
     )
 
 
-def _step_ability(step: StepSpec, kinds: list[ExecutorKind]) -> int:
-    able = [kind for kind in kinds if can_run(step, kind)]
-    near = any(step.data_rack in kind.labels for kind in able) if step.data_rack else False
-    return (ABLE if able else 0) + near
+def _step_eligibility(step: StepSpec, kinds: list[ExecutorKind]) -> int:
+    suitable = [kind for kind in kinds if can_run(step, kind)]
+    has_data = any(step.data_rack in kind.labels for kind in suitable) if step.data_rack else False
+    return (RUNNABLE_STEP_SCORE if suitable else 0) + has_data
--- a/src/linkspan/host/sizes.py
+++ b/src/linkspan/host/sizes.py
@@ -1,4 +1,4 @@
-"""How large executors are, as the halls' owners tell it."""
+"""Known capacities of executors, collected from the summaries that owners publish."""
 
 from __future__ import annotations
 
@@ -9,44 +9,52 @@
     from linkspan.shard.handover.summary import HallSummary
 
 
-MAX_SIZES = 64
-"""Sizes of a service's executors from which on one that a larger one holds is not kept: rooms
-that shrink and grow bring ever new ones, and each job is compared with all."""
+MAX_CAPACITIES = 64
+"""Limits the capacities kept of a service's executors. Beyond it, a capacity that a known one
+covers is not added: executors that shrink and grow bring ever new capacities, and each job is
+compared with all of them."""
 
 
 class ExecutorSizes:
-    """The sizes of executors that were ever told of, by service.
+    """Capacities of all executors that owners have ever published, by service.
 
     Args:
-        halls: Number of the halls.
+        halls: Number of halls.
     """
 
     def __init__(self, halls: int) -> None:
-        self._untold = set(range(halls))
-        self._seen: dict[str, set[Demand]] = {}
+        self._unpublished_shards = set(range(halls))
+        self._capacities: dict[str, set[Demand]] = {}
 
     def __repr__(self) -> str:
-        return f"ExecutorSizes({self._seen!r})"
+        return f"ExecutorSizes({self._capacities!r})"
 
-    def note(self, shard: int, summary: HallSummary) -> None:
-        """Take in what the owner of a shard tells."""
+    def add_summary(self, shard: int, summary: HallSummary) -> None:
+        """Add the capacities from a summary that the owner of a shard published."""
         if summary.kinds is None:
             return
-        self._untold.discard(shard)
+        self._unpublished_shards.discard(shard)
         for kind in summary.kinds:
-            self._note(kind.service, kind.capacity)
-        for service, size in summary.former_capacities:
-            self._note(service, size)
-
-    def _note(self, service: str, size: Demand) -> None:
-        seen = self._seen.setdefault(service, set())
-        if len(seen) >= MAX_SIZES and any(known.union(size) == known for known in seen):
+            self._add(kind.service, kind.capacity)
+        for service, capacity in summary.former_capacities:
+            self._add(service, capacity)
+
+    def _add(self, service: str, capacity: Demand) -> None:
+        capacities = self._capacities.setdefault(service, set())
+        if len(capacities) >= MAX_CAPACITIES and any(
+            known.union(capacity) == known for known in capacities
+        ):
             return
-        seen.add(size)
+        capacities.add(capacity)
 
     def of(self, service: str) -> frozenset[Demand]:
-        """Return the sizes of a service's executors, also of those that are gone.
+        """Return the capacities of a service's executors, including those that have left.
 
-        None are returned before each hall has told what it has: the largest may be there.
+        The result is empty until every hall has published its executors, since the largest
+        executor may be in a hall that has not.
         """
-        return frozenset() if self._untold else frozenset(self._seen.get(service, ()))
+        return (
+            frozenset()
+            if self._unpublished_shards
+            else frozenset(self._capacities.get(service, ()))
+        )
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -89,7 +89,7 @@
             executors=lambda token: self.link(name, token),
             machines=self if self.lists_machines else None,
             policy=self.policy,
-            bodies=JsonCallerFormat(),
+            caller_format=JsonCallerFormat(),
             configuration_records=CONFIGURATION,
             configuration_key=b"config",
             executor_records=EXECUTORS,
--- a/tests/host/test_executor_sizes.py
+++ b/tests/host/test_executor_sizes.py
@@ -18,18 +18,18 @@
 def test_nothing_is_known_before_each_hall_has_told() -> None:
     """The largest executors may be in the hall that has not."""
     sizes = ExecutorSizes(2)
-    sizes.note(0, told(SMALL))
+    sizes.add_summary(0, told(SMALL))
     assert sizes.of("pool") == frozenset()
-    sizes.note(1, HallSummary())
+    sizes.add_summary(1, HallSummary())
     assert sizes.of("pool") == frozenset()
-    sizes.note(1, told(LARGE))
+    sizes.add_summary(1, told(LARGE))
     assert sizes.of("pool") == {SMALL, LARGE}
 
 
 def test_sizes_of_executors_that_are_gone_stay_known() -> None:
     sizes = ExecutorSizes(1)
-    sizes.note(0, told(SMALL, LARGE))
-    sizes.note(0, told(SMALL))
+    sizes.add_summary(0, told(SMALL, LARGE))
+    sizes.add_summary(0, told(SMALL))
     assert sizes.of("pool") == {SMALL, LARGE}
     assert sizes.of("other") == frozenset()
 
--- a/tests/host/test_late_renewal.py
+++ b/tests/host/test_late_renewal.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from linkspan.host.candidate import PAST_RECORDS
+from linkspan.host.candidate import MAX_PAST_RECORDS
 from linkspan.shard.ownership.ownership import OwnerAct, OwnerRecord
 from tests.hall_world import HallWorld
 from tests.host.owner_waits import BEGUN_S, LONG_S, OUTLIVED_S, OWNERS, until
@@ -47,7 +47,9 @@
             record = OwnerRecord(OwnerAct.RENEW, first, life.incarnation, token, 99)
             world.store.put(OWNERS, b"", record.encode())
         end = world.store.log(OWNERS).end
-        await until(lambda: world.store.log(OWNERS).end == end + PAST_RECORDS - 1, limit_s=WAIT_S)
+        await until(
+            lambda: world.store.log(OWNERS).end == end + MAX_PAST_RECORDS - 1, limit_s=WAIT_S
+        )
         # One side of a cut has the owner and its task's executor, the other one all else.
         for address, executor in world.executors.items():
             world.cuts.add((first if executor.running else second, address))
--- a/tests/host/test_late_renewal_before_a_claim.py
+++ b/tests/host/test_late_renewal_before_a_claim.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from linkspan.host.candidate import PAST_RECORDS
+from linkspan.host.candidate import MAX_PAST_RECORDS
 from linkspan.shard.ownership.ownership import OFFLINE_S, OwnerAct, OwnerRecord, OwnerView
 from linkspan.store.types import Entry
 from tests.hall_world import HallWorld
@@ -54,7 +54,9 @@
         end = world.store.log(OWNERS).end
         world.start_host(first)
         # The claim of its second life, and as many renewals as leave no older record to read.
-        await until(lambda: world.store.log(OWNERS).end == end + PAST_RECORDS - 1, limit_s=WAIT_S)
+        await until(
+            lambda: world.store.log(OWNERS).end == end + MAX_PAST_RECORDS - 1, limit_s=WAIT_S
+        )
         world.kill_host(first)
         world.start_host(first)
         await asyncio.sleep(OUTLIVED_S)
--- a/tests/host/test_ownership_reads.py
+++ b/tests/host/test_ownership_reads.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from linkspan.host.candidate import PAST_RECORDS
+from linkspan.host.candidate import MAX_PAST_RECORDS
 from linkspan.store.types import Page, Partition
 from tests import hall_world
 from tests.hall_executors import EXECUTORS
@@ -69,7 +69,7 @@
         counted.clear()
         started = world.start_host(name)
         await asyncio.sleep(STARTING_S)
-        most = PAST_RECORDS + RENEWALS_WHILE_STARTING
+        most = MAX_PAST_RECORDS + RENEWALS_WHILE_STARTING
         assert counted[name, "owners"] <= len(world.halls) * most
         for candidate in started.host.candidates:
             assert candidate.view.owner
--- a/tests/host/test_planned_stop.py
+++ b/tests/host/test_planned_stop.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 from aiohttp.test_utils import make_mocked_request
 
-from linkspan.host.host import DRAIN_TICK_S
+from linkspan.host.host import DRAIN_CHECK_INTERVAL_S
 from linkspan.host.listener import Listener
 from linkspan.jobs.job_registry import JOBS
 from tests.hall_world import HallWorld
@@ -71,9 +71,9 @@
     assert in_flight
     await listener.refuse_new()
     async with asyncio.timeout(5.0):
-        await asyncio.sleep(DRAIN_TICK_S)
+        await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         while in_flight:
-            await asyncio.sleep(DRAIN_TICK_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         await listener.close()
         # Each caller ends once it is refused.
         for caller in callers:
--- a/tests/host/test_remote_takeovers.py
+++ b/tests/host/test_remote_takeovers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from linkspan.host.candidate import REMOTE_WATCH_S
+from linkspan.host.candidate import REMOTE_READ_PAUSE_S
 from linkspan.shard.ownership.ownership import RELEASED_S, REMOTE_SILENCE_S
 from tests.hall_world import HallWorld
 from tests.virtual_time import run_virtual
@@ -49,7 +49,7 @@
         world = await begun(settled_s)
         for name in hosts_of(world, 0):
             world.kill_host(name)
-        await owned_within(world, 0, REMOTE_SILENCE_S + REMOTE_WATCH_S + CALLS_S)
+        await owned_within(world, 0, REMOTE_SILENCE_S + REMOTE_READ_PAUSE_S + CALLS_S)
         return world
 
     assert run_virtual(play()).problems == []
@@ -63,7 +63,7 @@
             for name in hosts_of(world, shard):
                 world.kill_host(name)
         for shard in LOST_TOGETHER:
-            await owned_within(world, shard, REMOTE_SILENCE_S + REMOTE_WATCH_S + CALLS_S)
+            await owned_within(world, shard, REMOTE_SILENCE_S + REMOTE_READ_PAUSE_S + CALLS_S)
         return world
 
     assert run_virtual(play()).problems == []
@@ -79,7 +79,7 @@
         names = [name for shard in lost for name in hosts_of(world, shard)]
         await asyncio.gather(*(world.remove_host(name) for name in names))
         for shard in lost:
-            await owned_within(world, shard, RELEASED_S + REMOTE_WATCH_S + CALLS_S)
+            await owned_within(world, shard, RELEASED_S + REMOTE_READ_PAUSE_S + CALLS_S)
         return world
 
     assert run_virtual(play()).problems == []
--- a/tests/host/test_slow_first_reads.py
+++ b/tests/host/test_slow_first_reads.py
@@ -40,7 +40,7 @@
                 world.store.reads_take[name, partition.topic] = taken
             world.start_host(name)
         await asyncio.sleep(READ_ANSWERS * SLOWEST_S)
-        assert all(running.host.knows_all for running in world.hosts.values())
+        assert all(running.host.caught_up for running in world.hosts.values())
         for spec in specs:
             for name in names:
                 await world.wait_for(name, spec.job_id, "succeeded", limit_s=60.0)
--- a/tests/host/test_who_owns.py
+++ b/tests/host/test_who_owns.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from linkspan.host._slowness import LOADING_SHARE, MAX_DELAY_S, Slowness
+from linkspan.host._slowness import DELAY_PER_LOAD_SECOND, MAX_CLAIM_DELAY_S, Slowness
 from linkspan.shard.ownership.ownership import RELEASED_S, SILENCE_S
 from tests.hall_world import HallWorld
 from tests.virtual_time import run_virtual
@@ -53,10 +53,10 @@
             owner = world.owner()
             assert owner
             world.kill_host(owner)
-            await asyncio.sleep(SILENCE_S + MAX_DELAY_S + 1.0)
+            await asyncio.sleep(SILENCE_S + MAX_CLAIM_DELAY_S + 1.0)
             assert is_strong(world, world.owner())
         world.kill_host(str(world.owner()))
-        await asyncio.sleep(SILENCE_S + MAX_DELAY_S + 1.0)
+        await asyncio.sleep(SILENCE_S + MAX_CLAIM_DELAY_S + 1.0)
         assert world.owner(), "a weak host is better than none"
         return world
 
@@ -79,16 +79,16 @@
 
 
 def test_a_weak_host_waits_less_than_another_hall() -> None:
-    assert Slowness(60.0).delay_s == MAX_DELAY_S
-    assert MAX_DELAY_S < RELEASED_S
+    assert Slowness(60.0).delay_s == MAX_CLAIM_DELAY_S
+    assert MAX_CLAIM_DELAY_S < RELEASED_S
 
 
 def test_a_host_that_lags_lets_others_first_for_a_while() -> None:
     slowness = Slowness(FAST_S)
-    calm = LOADING_SHARE * FAST_S
+    calm = DELAY_PER_LOAD_SECOND * FAST_S
     assert slowness.delay_s == pytest.approx(calm)
-    slowness.note_lag(0.1)
+    slowness.record_lag(0.1)
     assert slowness.delay_s == pytest.approx(calm + 0.1)
     for _ in range(50):
-        slowness.note_lag(0.0)
+        slowness.record_lag(0.0)
     assert slowness.delay_s == pytest.approx(calm, abs=0.001)
