--- a/bench/first_read.py
+++ b/bench/first_read.py
@@ -115,7 +115,7 @@
 async def _bytes_of(target: str, partition: object) -> int:
     link = SlowLink(target, 1e12)
     async with link.serve() as address, aiohttp.ClientSession() as session:
-        await StoreClient(session, address, timeout_s=10.0).newest(partition)  # type: ignore[arg-type]
+        await StoreClient(session, address, timeout_s=10.0).newest_records(partition)  # type: ignore[arg-type]
         return link.passed
 
 
--- a/src/linkspan/host/_slowness.py
+++ b/src/linkspan/host/_claim_delay.py
@@ -15,8 +15,8 @@
 """Decay factor of the lag per measurement, so that a burst of load has no effect after seconds."""
 
 
-class Slowness:
-    """Slowness of a host, measured by its load time and the lag of its event loop.
+class ClaimDelay:
+    """Delay of a host's claims, from its load time and the lag of its event loop.
 
     An owner sends all orders of a hall, which takes about half a core with a hundred executors.
     The hosts of a hall differ fourfold in cores, and most of them are weak: without a delay, a
@@ -31,7 +31,7 @@
         self._lag_s = 0.0
 
     def __repr__(self) -> str:
-        return f"Slowness(loaded_s={self._loaded_s:.3f}, lag_s={self._lag_s:.3f})"
+        return f"ClaimDelay(loaded_s={self._loaded_s:.3f}, lag_s={self._lag_s:.3f})"
 
     @property
     def delay_s(self) -> float:
--- a/src/linkspan/host/candidate.py
+++ b/src/linkspan/host/candidate.py
@@ -26,7 +26,7 @@
     from collections.abc import Callable, Sequence
 
     from linkspan.events import EventLog
-    from linkspan.host._slowness import Slowness
+    from linkspan.host._claim_delay import ClaimDelay
     from linkspan.shard.handover.summary import HallSummary
     from linkspan.shard.tenure import Tenure
     from linkspan.store.types import Entry, Store
@@ -72,7 +72,7 @@
         home: Whether the shard is that of this host's hall.
         make_tenure: Creates a tenure from the owner, the shard and the details of the claim.
         log: Event log.
-        slowness: Slowness of this host, which delays its claims.
+        claim_delay: Delay of this host's claims.
         on_summary: Called with the shard and each summary that its owner publishes.
     """
 
@@ -86,7 +86,7 @@
         home: bool,
         make_tenure: Callable[[Owner, int, Claim], Tenure],
         log: EventLog,
-        slowness: Slowness,
+        claim_delay: ClaimDelay,
         on_summary: Callable[[int, HallSummary], None] = lambda _shard, _summary: None,
     ) -> None:
         self._store = store
@@ -96,7 +96,7 @@
         self._home = home
         self._make_tenure = make_tenure
         self._log = log
-        self._slowness = slowness
+        self._claim_delay = claim_delay
         self._on_summary = on_summary
         self._view = OwnerView(host, incarnation, home=home)
         self._partition = Partition("owners", shard)
@@ -178,7 +178,7 @@
             )
 
     def _should_claim(self, now: float) -> bool:
-        return self._view.should_claim(now, delay_s=self._slowness.delay_s)
+        return self._view.should_claim(now, delay_s=self._claim_delay.delay_s)
 
     def _view_is_fresh(self, now: float) -> bool:
         # With a stale view, a silence may be due to the store rather than the owner.
@@ -234,7 +234,7 @@
         owner = self._view.owner
         if self._tenure and self._view.mine and owner and record.token == owner.token:
             renewed_at = self._renewed_at.pop(record.number, float("-inf"))
-            self._tenure.proved(renewed_at, token_limit=self._view.token_limit)
+            self._tenure.on_renewal_confirmed(renewed_at, token_limit=self._view.token_limit)
 
     def _on_health(self, healthy: bool) -> None:
         if healthy:
--- a/src/linkspan/host/connections.py
+++ b/src/linkspan/host/connections.py
@@ -14,19 +14,19 @@
 
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-HALF_REQUEST_S = 10.0
+MAX_REQUEST_HEAD_S = 10.0
 """Limits the time from the first byte of a request to the end of its headers, in seconds.
 Callers time out after three seconds in total; the body is limited by the deadline of the
 request."""
 
-UNREAD_S = 10.0
+MAX_UNREAD_S = 10.0
 """Limits the time for which a caller may read nothing of a response, in seconds."""
 
-MAX_IDLE = 512
+MAX_IDLE_CONNECTIONS = 512
 """Limits idle connections; beyond it, those idle for longest are closed. It is half of the usual
 limit of file descriptors of a process (1,024), which calls to executors share."""
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 """Interval between checks of all connections, in seconds."""
 
 KEEPALIVE_IDLE_S = 15
@@ -120,9 +120,9 @@
 
     def drop_reason(self, now: float) -> str | None:
         """Return why the connection must be dropped at a loop time, ``None`` if it need not be."""
-        if self._begun_at is not None and now - self._begun_at > HALF_REQUEST_S:
+        if self._begun_at is not None and now - self._begun_at > MAX_REQUEST_HEAD_S:
             return "incomplete request"
-        if self._unread_for(now) > UNREAD_S:
+        if self._unread_for(now) > MAX_UNREAD_S:
             return "response not read"
         return None
 
@@ -162,7 +162,7 @@
     def __call__(self) -> RequestHandler:
         """Return the protocol of a new connection."""
         if self._sweeping is None:
-            self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
+            self._sweeping = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         return CallerConnection(self, loop=self._loop, **self._kwargs)
 
     async def shutdown(self, timeout: float | None = None) -> None:
@@ -187,9 +187,11 @@
             if reason:
                 self._drop(connection, reason)
         idle = sorted((c for c in connections if c.idle), key=lambda c: c.idle_since)
-        for connection in idle[: max(0, len(idle) - MAX_IDLE)]:
+        for connection in idle[: max(0, len(idle) - MAX_IDLE_CONNECTIONS)]:
             self._drop(connection, "too many idle connections")
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep) if connections else None
+        self._sweeping = (
+            self._loop.call_later(SWEEP_INTERVAL_S, self._sweep) if connections else None
+        )
 
     def _drop(self, connection: CallerConnection, reason: str) -> None:
         connection.drop()
--- a/src/linkspan/host/sizes.py
+++ b/src/linkspan/host/executor_capacities.py
@@ -15,7 +15,7 @@
 compared with all of them."""
 
 
-class ExecutorSizes:
+class ExecutorCapacities:
     """Capacities of all executors that owners have ever published, by service.
 
     Args:
@@ -27,7 +27,7 @@
         self._capacities: dict[str, set[Demand]] = {}
 
     def __repr__(self) -> str:
-        return f"ExecutorSizes({self._capacities!r})"
+        return f"ExecutorCapacities({self._capacities!r})"
 
     def add_summary(self, shard: int, summary: HallSummary) -> None:
         """Add the capacities from a summary that the owner of a shard published."""
--- a/src/linkspan/host/front.py
+++ b/src/linkspan/host/front.py
@@ -293,7 +293,7 @@
             job_id: The job.
             deadline: Steady time by which to answer.
         """
-        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_read_wait_s(deadline))
+        entry, fresh = await self._job_registry.look_up(job_id, timeout_s=_read_wait_s(deadline))
         if entry:
             return _json(200, self._form.state(entry.state))
         if not fresh:
@@ -304,7 +304,7 @@
 
     async def cancel(self, job_id: str, deadline: float) -> web.Response:
         """Cancel a job and answer once the cancellation is durable."""
-        entry, fresh = await self._job_registry.look_up(job_id, limit_s=_read_wait_s(deadline))
+        entry, fresh = await self._job_registry.look_up(job_id, timeout_s=_read_wait_s(deadline))
         if entry is None:
             return _json(410, b"{}") if fresh else _unavailable("job records not read to their end")
         if entry.state.final:
@@ -328,7 +328,7 @@
             queue: The queue.
             deadline: Steady time by which to answer.
         """
-        await self._job_registry.refresh(limit_s=min(_read_wait_s(deadline), MAX_REFRESH_WAIT_S))
+        await self._job_registry.refresh(timeout_s=min(_read_wait_s(deadline), MAX_REFRESH_WAIT_S))
         if steady() - self._job_registry.follower.synced_at > MAX_COUNT_AGE_S:
             return _unavailable("job records not read lately")
         return _json(200, self._form.waiting(self._job_registry.catalog.waiting(queue.name)))
--- a/src/linkspan/host/host.py
+++ b/src/linkspan/host/host.py
@@ -8,11 +8,11 @@
 
 from linkspan.clock import steady
 from linkspan.events import Event
-from linkspan.host._slowness import Slowness
+from linkspan.host._claim_delay import ClaimDelay
 from linkspan.host.candidate import Candidate
+from linkspan.host.executor_capacities import ExecutorCapacities
 from linkspan.host.front import Front
 from linkspan.host.shards import ShardChooser
-from linkspan.host.sizes import ExecutorSizes
 from linkspan.jobs.job_registry import JobRegistry
 from linkspan.shard.registry import ConfigurationWatch, ExecutorRegistry
 from linkspan.store.metered import MeteredStore
@@ -118,8 +118,8 @@
         self._log = log
         self._draining = False
         self._follows_executors = False
-        self._slowness = Slowness(loaded_s)
-        self._sizes = ExecutorSizes(len(settings.halls))
+        self._claim_delay = ClaimDelay(loaded_s)
+        self._executor_capacities = ExecutorCapacities(len(settings.halls))
         self.job_registry = JobRegistry(adapter.store, incarnation, log)
         self.executor_registry = ExecutorRegistry(
             adapter.store,
@@ -144,7 +144,7 @@
                 home=shard == settings.shard,
                 make_tenure=self._make_tenure,
                 log=log,
-                slowness=self._slowness,
+                claim_delay=self._claim_delay,
                 on_summary=self._on_summary,
             )
             for shard in range(len(settings.halls))
@@ -154,7 +154,7 @@
             self.configuration,
             adapter.caller_format,
             choose_shard=ShardChooser(settings, self._summary_of).choose,
-            capacities=self._sizes.of,
+            capacities=self._executor_capacities.of,
             incarnation=incarnation,
             log=log,
             metrics=metrics,
@@ -288,11 +288,11 @@
         """Sleep, and record by how much the sleep overran."""
         started_at = steady()
         await asyncio.sleep(pause_s)
-        self._slowness.record_lag(steady() - started_at - pause_s)
+        self._claim_delay.record_lag(steady() - started_at - pause_s)
 
     def _on_summary(self, shard: int, summary: HallSummary) -> None:
         """Apply the summary of a hall to the known capacities and this host's tenures."""
-        self._sizes.add_summary(shard, summary)
+        self._executor_capacities.add_summary(shard, summary)
         for candidate in self.candidates:
             if candidate.tenure:
                 candidate.tenure.adopt(summary)
--- a/src/linkspan/jobs/catalog.py
+++ b/src/linkspan/jobs/catalog.py
@@ -33,7 +33,7 @@
         moved: Shard that the job was moved to, and the offset of the record that moved it.
         delegated: Delegations of standing tasks to other shards, by shard.
         returned_delegations: Delegations that those shards returned, by shard.
-        hosts: Writers of the job's submissions, see :attr:`Submitted.host`.
+        writer_ids: Writers of the job's submissions, see :attr:`Submitted.writer_id`.
         begun: Whether a task of the job was started.
         cancelled: Whether a caller cancelled the job.
         finished: Record of the final state, ``None`` until the job is finished.
@@ -44,7 +44,7 @@
     moved: tuple[int, int] | None = None
     delegated: dict[int, tuple[Delegation, ...]] = field(default_factory=dict)
     returned_delegations: dict[int, tuple[Delegation, ...]] = field(default_factory=dict)
-    hosts: tuple[str, ...] = ()
+    writer_ids: tuple[str, ...] = ()
     begun: bool = False
     cancelled: bool = False
     finished: Finished | None = None
@@ -102,7 +102,7 @@
         """Return the number of accepted jobs of a queue that have not begun."""
         return len(self._waiting.get(queue, ()))
 
-    def of_shard(self, shard: int) -> Iterator[tuple[str, JobEntry]]:
+    def jobs_of_shard(self, shard: int) -> Iterator[tuple[str, JobEntry]]:
         """Iterate over the jobs that belong to a shard or have delegated tasks to the shard."""
         for job_id, entry in self._jobs.items():
             if entry.known and (entry.shard == shard or shard in entry.delegated):
@@ -151,8 +151,8 @@
     def _apply_submission(self, offset: int, record: Submitted) -> None:
         job_id = record.spec.job_id
         entry = self._jobs.setdefault(job_id, JobEntry())
-        if record.host not in entry.hosts:
-            entry.hosts += (record.host,)
+        if record.writer_id not in entry.writer_ids:
+            entry.writer_ids += (record.writer_id,)
         if entry.submitted is None or offset < entry.offset:
             entry.submitted = record
             entry.offset = offset
--- a/src/linkspan/jobs/job_registry.py
+++ b/src/linkspan/jobs/job_registry.py
@@ -104,7 +104,7 @@
             self._unread_submissions[job_id] = offset
 
     async def look_up(
-        self, job_id: str, *, limit_s: float = MAX_REFRESH_WAIT_S
+        self, job_id: str, *, timeout_s: float = MAX_REFRESH_WAIT_S
     ) -> tuple[JobEntry | None, bool]:
         """Return the current state of a job, and whether the view is fresh.
 
@@ -113,31 +113,31 @@
 
         Args:
             job_id: The job.
-            limit_s: Maximum wait for a fresh view, in seconds.
+            timeout_s: Maximum wait for a fresh view, in seconds.
         """
         entry = self.catalog.get(job_id)
         if entry and entry.finished:
             return entry, True
-        limit_s = min(limit_s, MAX_REFRESH_WAIT_S) if entry else limit_s
-        fresh_s = 0.0 if job_id in self._unread_submissions else MAX_FRESH_AGE_S
-        fresh = await self.refresh(fresh_s=fresh_s, limit_s=limit_s)
+        timeout_s = min(timeout_s, MAX_REFRESH_WAIT_S) if entry else timeout_s
+        max_age_s = 0.0 if job_id in self._unread_submissions else MAX_FRESH_AGE_S
+        fresh = await self.refresh(max_age_s=max_age_s, timeout_s=timeout_s)
         return self.catalog.get(job_id), fresh
 
     async def refresh(
-        self, *, fresh_s: float = MAX_FRESH_AGE_S, limit_s: float = MAX_REFRESH_WAIT_S
+        self, *, max_age_s: float = MAX_FRESH_AGE_S, timeout_s: float = MAX_REFRESH_WAIT_S
     ) -> bool:
         """Read to the current end of the records and return whether that succeeded in time.
 
         The read continues after the limit, so that later calls benefit from it.
 
         Args:
-            fresh_s: Age in seconds below which the view counts as fresh.
-            limit_s: Maximum wait in seconds.
+            max_age_s: Age in seconds below which the view counts as fresh.
+            timeout_s: Maximum wait in seconds.
         """
-        if steady() - self.follower.synced_at < fresh_s:
+        if steady() - self.follower.synced_at < max_age_s:
             return True
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 await self.follower.sync()
         except (StoreRefused, StoreUnanswered, TimeoutError):
             return False
--- a/src/linkspan/jobs/record_codec.py
+++ b/src/linkspan/jobs/record_codec.py
@@ -34,7 +34,7 @@
 def encode(record: JobRecord) -> tuple[bytes, bytes]:
     """Return the key and the value of a record; an empty value removes the key."""
     if isinstance(record, Submitted):
-        return f"s:{record.spec.job_id}:{record.host}".encode(), _submission_value(record)
+        return f"s:{record.spec.job_id}:{record.writer_id}".encode(), _submission_value(record)
     if isinstance(record, Moved):
         return f"m:{record.job_id}".encode(), orjson.dumps(record.shard)
     if isinstance(record, Delegated | Returned):
@@ -155,7 +155,7 @@
     return fields
 
 
-def _submission_from(value: Any, host: str) -> Submitted:
+def _submission_from(value: Any, writer_id: str) -> Submitted:
     fields = parse_object(value)
     schedule = fields.get("schedule")
     spec = JobSpec(
@@ -168,7 +168,7 @@
     terms = _terms_from(parse_list(fields["terms"])) if "terms" in fields else None
     version = parse_int(fields["version"]) if "version" in fields else None
     shard, accepted = parse_int(fields["shard"]), parse_number(fields["accepted"])
-    return Submitted(spec, shard, accepted, host, terms, version)
+    return Submitted(spec, shard, accepted, writer_id, terms, version)
 
 
 def _schedule_from(fields: dict[str, Any]) -> Schedule:
--- a/src/linkspan/jobs/records.py
+++ b/src/linkspan/jobs/records.py
@@ -43,7 +43,7 @@
         spec: The job.
         shard: Number of the shard that runs it.
         accepted_at: Wall-clock time of the accepting host, in seconds since 1970.
-        host: Incarnation of the accepting host process, followed by the number of the retry if
+        writer_id: Incarnation of the accepting host process, followed by the number of the retry if
             the record was sent again. Each host and each retry writes its own key.
         terms: Terms of the queue at acceptance; ``None`` in records of earlier versions.
         version: Version of the configuration that defines the terms, ``None`` if unknown.
@@ -52,7 +52,7 @@
     spec: JobSpec
     shard: int
     accepted_at: float
-    host: str
+    writer_id: str
     terms: QueueTerms | None = None
     version: int | None = None
 
--- a/src/linkspan/platform/store.py
+++ b/src/linkspan/platform/store.py
@@ -109,17 +109,19 @@
         path = f"log-read?{_place(partition)}&from={start}&max_kb={_MIN_KB}"
         return _end(await self._records(path))
 
-    async def newest(self, partition: Partition) -> Page:
-        """Read the newest keys; see :meth:`linkspan.store.types.Store.newest`."""
-        page = await self.newest_page(partition)
+    async def newest_records(self, partition: Partition) -> Page:
+        """Read the newest keys; see :meth:`linkspan.store.types.Store.newest_records`."""
+        page = await self.newest_records_page(partition)
         entries, end = list(page.entries), page.end
         while page.more:
-            page = await self.newest_page(partition, after=entries[-1].key)
+            page = await self.newest_records_page(partition, after=entries[-1].key)
             entries += page.entries
         return Page(tuple(entries), end)
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        """Read a page of keys; see :meth:`linkspan.store.types.Store.newest_page`."""
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
+        """Read a page of keys; see :meth:`linkspan.store.types.Store.newest_records_page`."""
         # "dependsOn" is the wire's name for the key to go on after.
         rest = "" if after is None else f"&dependsOn={quote(after, safe='')}"
         status, answer = await self._call("GET", f"log-newest?{_place(partition)}{rest}")
--- a/src/linkspan/shard/intake/_feed.py
+++ b/src/linkspan/shard/intake/_feed.py
@@ -70,7 +70,7 @@
             shard=self._shard,
             job=job_id,
             offset=entry.offset,
-            accepted_by=entry.submitted.host,
+            accepted_by=entry.submitted.writer_id,
             token=self._token,
             inherited=inherited,
             adopting=len(self._core.awaiting_report_ids),
--- a/src/linkspan/shard/recovery/_records.py
+++ b/src/linkspan/shard/recovery/_records.py
@@ -174,7 +174,8 @@
             Finished(finished.job_id, finished.state, finished.shard, time.time(), finished.queue)
         ]
         records += [
-            Tombstone("s", finished.job_id, host) for host in (entry.hosts if entry else ())
+            Tombstone("s", finished.job_id, writer_id)
+            for writer_id in (entry.writer_ids if entry else ())
         ]
         records += [Tombstone(kind, finished.job_id) for kind in ("c", "b", "m")]
         records += [
@@ -206,7 +207,7 @@
             limit = time.time() - self._settings.bounds.state_kept_s - PRUNE_MARGIN_S
             old = [
                 record
-                for job_id, entry in self._job_registry.catalog.of_shard(self._shard)
+                for job_id, entry in self._job_registry.catalog.jobs_of_shard(self._shard)
                 if entry.finished and entry.finished.at < limit
                 for record in _last_records(job_id, entry)
             ]
@@ -220,5 +221,5 @@
     A caller that sent the job again may have left a submission behind its end: without
     the end it would count as a new job.
     """
-    submissions = [Tombstone("s", job_id, host) for host in entry.hosts]
+    submissions = [Tombstone("s", job_id, writer_id) for writer_id in entry.writer_ids]
     return [*submissions, Tombstone("f", job_id)]
--- a/src/linkspan/shard/recovery/_recovery.py
+++ b/src/linkspan/shard/recovery/_recovery.py
@@ -11,7 +11,7 @@
 from linkspan.jobs.records import Delegated, Returned
 from linkspan.shard.leases import inherited_lease_expiry
 from linkspan.shard.recovery.progress import ROSTER_KEY, decode_roster, moved_to, parse_key
-from linkspan.shard.reports._watch import RETRY_S
+from linkspan.shard.reports._watch import INITIAL_BACKOFF_S
 from linkspan.store.keyed_snapshot import KeyedSnapshot
 
 if TYPE_CHECKING:
@@ -121,7 +121,7 @@
             except LogGap:
                 # What was written meanwhile, by this tenure's fence, is gone already.
                 listing = KeyedSnapshot(self._store, self._partition)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(INITIAL_BACKOFF_S)
                 continue
             newest = {entry.key: entry.value for entry in listing.entries}
             return {key: value for key, value in newest.items() if value}
@@ -134,7 +134,7 @@
             try:
                 return await call()
             except (StoreRefused, StoreUnanswered):
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(INITIAL_BACKOFF_S)
 
     def _inherit(self, roster: bytes, lapse: float) -> None:
         """Take over the executors of a roster, or the registered ones if it is not readable."""
@@ -155,7 +155,7 @@
                 self._log.write(Event.RECORD_SKIPPED, partition="progress", error=str(error))
                 continue
             progress.setdefault(run.job_id, {})[run.repetition] = value
-        for job_id, entry in list(self._job_registry.catalog.of_shard(self._shard)):
+        for job_id, entry in list(self._job_registry.catalog.jobs_of_shard(self._shard)):
             runs = progress.pop(job_id, {})
             if entry.finished:
                 self._core.drop_progress(job_id, runs)
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -37,11 +37,11 @@
 """Least time between figures of tasks that count, but for looks that waited: they are of the last
 half second, and are told again by looks that follow each other at once."""
 
-RETRY_S = 0.15
+INITIAL_BACKOFF_S = 0.15
 """First pause after a call to an executor got no answer; doubled up to the next.
 A recovery pauses as long when the store does not answer."""
 
-MAX_RETRY_S = 0.6
+MAX_BACKOFF_S = 0.6
 """Longest pause between calls to a silent executor."""
 
 FIRST_REFRESH_S = 3.5
@@ -169,16 +169,16 @@
         return {e.executor_id for e in executors if e.silent_since is not None}
 
     async def _watch(self, executor: ExecutorState) -> None:
-        pause = RETRY_S
+        pause = INITIAL_BACKOFF_S
         while self._core.executors.get(executor.executor_id) is executor:
             tells = executor.ack_pending
             if await self._look(executor, self._wait_for(executor)):
-                pause = RETRY_S
+                pause = INITIAL_BACKOFF_S
                 if not tells or executor.ack_pending or executor.unacked:
                     await self._settle(executor)
             else:
                 await asyncio.sleep(pause)
-                pause = min(2 * pause, MAX_RETRY_S)
+                pause = min(2 * pause, MAX_BACKOFF_S)
 
     def _follow_lives(self) -> None:
         """Watch a life that was just found, and none that is over."""
@@ -252,9 +252,9 @@
         if not unknown and not first:
             return report
         if first:
-            read = await self._job_registry.refresh(fresh_s=0.0, limit_s=FIRST_REFRESH_S)
+            read = await self._job_registry.refresh(max_age_s=0.0, timeout_s=FIRST_REFRESH_S)
         else:
-            read = await self._job_registry.refresh(fresh_s=0.0)
+            read = await self._job_registry.refresh(max_age_s=0.0)
         if read:
             return report
         return report.without(unknown)
@@ -271,7 +271,7 @@
         await asyncio.sleep(GATHER_S)
         executor.advance_acknowledged(steady())
         waited = GATHER_S
-        while executor.unacked and waited < MAX_RETRY_S and not executor.withholds_end(steady()):
+        while executor.unacked and waited < MAX_BACKOFF_S and not executor.withholds_end(steady()):
             await asyncio.sleep(GATHER_S / 2)
             waited += GATHER_S / 2
             executor.advance_acknowledged(steady())
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -151,7 +151,7 @@
         """The shard's state."""
         return self._core
 
-    def proved(self, at: float, *, token_limit: int = 0) -> None:
+    def on_renewal_confirmed(self, at: float, *, token_limit: int = 0) -> None:
         """Take in that the store had no other owner at a steady time.
 
         Args:
--- a/src/linkspan/store/follower.py
+++ b/src/linkspan/store/follower.py
@@ -19,10 +19,10 @@
 store allows, so that a connection silenced by a network cut is detected within seconds, and so
 is a record that a slow store accepted while the read was in transit."""
 
-RETRY_S = 0.15
-"""Initial backoff after a failed read, in seconds; it doubles up to ``MAX_RETRY_S``."""
+INITIAL_BACKOFF_S = 0.15
+"""Initial backoff after a failed read, in seconds; it doubles up to ``MAX_BACKOFF_S``."""
 
-MAX_RETRY_S = 0.6
+MAX_BACKOFF_S = 0.6
 """Limits the backoff between reads, in seconds: a configuration must be in force within two
 seconds, also right after a store outage."""
 
@@ -119,7 +119,7 @@
 
     async def run(self) -> None:
         """Follow the partition until cancelled."""
-        backoff_s = RETRY_S
+        backoff_s = INITIAL_BACKOFF_S
         try:
             while True:
                 await self._resumed.wait()
@@ -129,14 +129,14 @@
                 except (StoreRefused, StoreUnanswered):
                     self._set_health(False)
                     await asyncio.sleep(backoff_s)
-                    backoff_s = min(2 * backoff_s, MAX_RETRY_S)
+                    backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                     continue
                 self._set_health(True)
-                backoff_s = RETRY_S
+                backoff_s = INITIAL_BACKOFF_S
                 if not self._has_unread:
                     await asyncio.sleep(self.pause_s)
                 elif self._offset == offset:
-                    await asyncio.sleep(RETRY_S)
+                    await asyncio.sleep(INITIAL_BACKOFF_S)
         finally:
             if self._reading:
                 self._reading.cancel()
--- a/src/linkspan/store/keyed_snapshot.py
+++ b/src/linkspan/store/keyed_snapshot.py
@@ -62,7 +62,7 @@
                 return asked_at
 
     async def _read_page(self) -> None:
-        page = await self._store.newest_page(self._partition, after=self._last_key)
+        page = await self._store.newest_records_page(self._partition, after=self._last_key)
         if self._end < 0:
             self._end = page.end
         if page.entries:
--- a/src/linkspan/store/metered.py
+++ b/src/linkspan/store/metered.py
@@ -53,13 +53,21 @@
         """Return the end offset; see :meth:`linkspan.store.types.Store.end`."""
         return await self._timed("end", self._store.end(partition, start))
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        """Read a page of the newest records; see :meth:`linkspan.store.types.Store.newest_page`."""
-        return await self._timed("newest", self._store.newest_page(partition, after=after))
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
+        """Read a page of the newest records.
 
-    async def newest(self, partition: Partition) -> Page:
-        """Read the newest record of each key; see :meth:`linkspan.store.types.Store.newest`."""
-        return await self._timed("newest", self._store.newest(partition))
+        See :meth:`linkspan.store.types.Store.newest_records_page`.
+        """
+        return await self._timed("newest", self._store.newest_records_page(partition, after=after))
+
+    async def newest_records(self, partition: Partition) -> Page:
+        """Read the newest record of each key.
+
+        See :meth:`linkspan.store.types.Store.newest_records`.
+        """
+        return await self._timed("newest", self._store.newest_records(partition))
 
     async def _timed(self, call: str, pending_call: Awaitable[T]) -> T:
         started_at = steady()
--- a/src/linkspan/store/types.py
+++ b/src/linkspan/store/types.py
@@ -145,7 +145,9 @@
             LogGap: The record at ``start`` has expired.
         """
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
         """Return a page of the newest record of each key, from the first key or after a key on.
 
         Raises:
@@ -153,7 +155,7 @@
             StoreUnanswered: The store did not answer.
         """
 
-    async def newest(self, partition: Partition) -> Page:
+    async def newest_records(self, partition: Partition) -> Page:
         """Return the newest record of each key.
 
         The records are read page by page, so they are not a consistent snapshot. The ``end`` of
--- a/src/linkspan/store/writer.py
+++ b/src/linkspan/store/writer.py
@@ -26,10 +26,10 @@
 """Limits the bytes of one append to an eighth of what the store accepts, so that a call does
 not occupy a slow link for longer than a retry takes."""
 
-RETRY_S = 0.1
-"""Initial backoff after a failed append, in seconds; it doubles up to ``MAX_RETRY_S``."""
+INITIAL_BACKOFF_S = 0.1
+"""Initial backoff after a failed append, in seconds; it doubles up to ``MAX_BACKOFF_S``."""
 
-MAX_RETRY_S = 0.5
+MAX_BACKOFF_S = 0.5
 """Limits the backoff between appends, in seconds. It is a quarter of the two seconds within
 which an owner must be replaced, so that the end of a store outage is noticed well in time."""
 
@@ -155,7 +155,7 @@
 
     async def _write_group(self, group: list[_QueuedWrite]) -> None:
         self._unanswered = 0
-        backoff_s = RETRY_S
+        backoff_s = INITIAL_BACKOFF_S
         while group:
             try:
                 offset = await self._append(group)
@@ -185,7 +185,7 @@
                 _resolve(group, offset)
                 return
             await asyncio.sleep(backoff_s)
-            backoff_s = min(2 * backoff_s, MAX_RETRY_S)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _append(self, group: list[_QueuedWrite]) -> int:
         unanswered = self._unanswered
--- a/tests/fuzz/test_store_answers.py
+++ b/tests/fuzz/test_store_answers.py
@@ -65,7 +65,7 @@
 @settings(max_examples=EXAMPLES)
 @given(damaged_bytes(builders.KEY_PAGE))
 def test_a_page_of_keys_is_decoded_or_no_answer(answer: bytes) -> None:
-    check(asyncio.run, client(200, answer).newest_page(KEYED), StoreUnanswered)
+    check(asyncio.run, client(200, answer).newest_records_page(KEYED), StoreUnanswered)
 
 
 @settings(max_examples=EXAMPLES)
@@ -87,11 +87,11 @@
 def test_a_page_of_keys_that_comes_again_ends_the_listing() -> None:
     page = b'{"items":[{"privateKey":"k","value":"dg==","offset":1}],"more":true,"end":2}'
     with pytest.raises(StoreUnanswered):
-        asyncio.run(client(200, page).newest(KEYED))
+        asyncio.run(client(200, page).newest_records(KEYED))
 
 
 def test_a_key_of_any_letters_is_sent_whole() -> None:
     session = FixedSession(200, b'{"items":[],"end":0}')
     keys = StoreClient(session, "store")  # type: ignore[arg-type]
-    asyncio.run(keys.newest_page(KEYED, after="a&part=9#+é".encode()))
+    asyncio.run(keys.newest_records_page(KEYED, after="a&part=9#+é".encode()))
     assert session.urls[0].endswith("part=0&dependsOn=a%26part%3D9%23%2B%C3%A9")
--- a/tests/host/test_end_beside_recovery.py
+++ b/tests/host/test_end_beside_recovery.py
@@ -74,7 +74,10 @@
     entry = world.hosts[reader].host.job_registry.catalog.get(job_id)
     assert entry
     records = [Finished(job_id, JobState.SUCCEEDED, 0, time.time(), world.specs[job_id].queue)]
-    for record in (*records, *(Tombstone("s", job_id, host) for host in entry.hosts)):
+    for record in (
+        *records,
+        *(Tombstone("s", job_id, writer_id) for writer_id in entry.writer_ids),
+    ):
         world.store.put(JOBS, *encode(record))
     executor.report(end.number)
 
--- a/tests/host/test_executor_sizes.py
+++ b/tests/host/test_executor_sizes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linkspan.host.sizes import ExecutorSizes
+from linkspan.host.executor_capacities import ExecutorCapacities
 from linkspan.jobs.spec import Demand
 from linkspan.shard.handover.summary import HallSummary
 from linkspan.shard.messages import ExecutorKind
@@ -17,21 +17,21 @@
 
 def test_nothing_is_known_before_each_hall_has_told() -> None:
     """The largest executors may be in the hall that has not."""
-    sizes = ExecutorSizes(2)
-    sizes.add_summary(0, told(SMALL))
-    assert sizes.of("pool") == frozenset()
-    sizes.add_summary(1, HallSummary())
-    assert sizes.of("pool") == frozenset()
-    sizes.add_summary(1, told(LARGE))
-    assert sizes.of("pool") == {SMALL, LARGE}
+    capacities = ExecutorCapacities(2)
+    capacities.add_summary(0, told(SMALL))
+    assert capacities.of("pool") == frozenset()
+    capacities.add_summary(1, HallSummary())
+    assert capacities.of("pool") == frozenset()
+    capacities.add_summary(1, told(LARGE))
+    assert capacities.of("pool") == {SMALL, LARGE}
 
 
 def test_sizes_of_executors_that_are_gone_stay_known() -> None:
-    sizes = ExecutorSizes(1)
-    sizes.add_summary(0, told(SMALL, LARGE))
-    sizes.add_summary(0, told(SMALL))
-    assert sizes.of("pool") == {SMALL, LARGE}
-    assert sizes.of("other") == frozenset()
+    capacities = ExecutorCapacities(1)
+    capacities.add_summary(0, told(SMALL, LARGE))
+    capacities.add_summary(0, told(SMALL))
+    assert capacities.of("pool") == {SMALL, LARGE}
+    assert capacities.of("other") == frozenset()
 
 
 def test_a_summary_tells_kinds_in_few_bytes() -> None:
--- a/tests/host/test_job_book.py
+++ b/tests/host/test_job_book.py
@@ -58,7 +58,9 @@
         world.store.put(JOBS, *encode(Submitted(spec, 1 - shard, 0.0, "life-x")))
         status = await world.submit(idle, spec)
         catalog = world.hosts[idle].host.job_registry.catalog
-        return status, [job_id for job_id, _ in catalog.of_shard(shard) if job_id == spec.job_id]
+        return status, [
+            job_id for job_id, _ in catalog.jobs_of_shard(shard) if job_id == spec.job_id
+        ]
 
     assert run_virtual(play()) == (200, [])
 
@@ -81,7 +83,7 @@
         world = HallWorld()
         await world.begin()
         spec = world.new_job(step(1))
-        await world.hosts["east-host-0"].host.job_registry.refresh(fresh_s=0.0)
+        await world.hosts["east-host-0"].host.job_registry.refresh(max_age_s=0.0)
         assert await world.submit("east-host-0", spec) == 200
         return await world.state("east-host-0", spec.job_id)
 
@@ -95,9 +97,9 @@
         store = MemoryStore()
         job_registry = JobRegistry(_SlowReads(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
         writing = asyncio.create_task(job_registry.writer.run())
-        await job_registry.refresh(fresh_s=0.0)
+        await job_registry.refresh(max_age_s=0.0)
         spec = HallWorld().new_job(step(1))
-        reading = asyncio.create_task(job_registry.refresh(fresh_s=0.0))
+        reading = asyncio.create_task(job_registry.refresh(max_age_s=0.0))
         await asyncio.sleep(READ_S / 2)
         offset = await job_registry.write([Submitted(spec, 0, 0.0, "life-1")])
         job_registry.note_accepted(spec.job_id, offset)
@@ -120,9 +122,9 @@
         offset = await job_registry.write([Submitted(spec, 0, 0.0, "life-1")])
         job_registry.note_accepted(spec.job_id, offset)
         known = [job_registry.knows(spec.job_id)]
-        await job_registry.refresh(fresh_s=0.0)
+        await job_registry.refresh(max_age_s=0.0)
         store.put(JOBS, *encode(Tombstone("s", spec.job_id, "life-1")))
-        await job_registry.refresh(fresh_s=0.0)
+        await job_registry.refresh(max_age_s=0.0)
         known.append(job_registry.knows(spec.job_id))
         # An answer to the write that comes after the record was read back.
         job_registry.note_accepted(spec.job_id, offset)
--- a/tests/host/test_recovery_reads.py
+++ b/tests/host/test_recovery_reads.py
@@ -22,8 +22,10 @@
 
     pages = 0
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        page = await super().newest_page(partition, after=after)
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
+        page = await super().newest_records_page(partition, after=after)
         if partition == PROGRESS:
             self.pages += 1
             if self.pages % 2 == 0:
--- a/tests/host/test_removals_sent_again.py
+++ b/tests/host/test_removals_sent_again.py
@@ -28,7 +28,9 @@
         ]
         spec, end = await _submitted(job_registry)
         await _write_twice(store, job_registry, [end, Tombstone("s", spec.job_id, HOST)])
-        kept = [entry.key for entry in (await StoreLink(store, "host").newest(JOBS)).entries]
+        kept = [
+            entry.key for entry in (await StoreLink(store, "host").newest_records(JOBS)).entries
+        ]
         for loop in loops:
             loop.cancel()
         return kept
--- a/tests/host/test_renewals_by_tenure.py
+++ b/tests/host/test_renewals_by_tenure.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from linkspan.errors import StoreUnanswered
-from linkspan.host._slowness import Slowness
+from linkspan.host._claim_delay import ClaimDelay
 from linkspan.host.candidate import Candidate
 from linkspan.shard.ownership._proof import TenureLost
 from linkspan.shard.ownership.ownership import Claim, Owner, OwnerAct, OwnerRecord
@@ -31,7 +31,7 @@
         self.proofs: list[float] = []
         self._lost = asyncio.Event()
 
-    def proved(self, at: float, *, token_limit: int) -> None:
+    def on_renewal_confirmed(self, at: float, *, token_limit: int) -> None:
         assert token_limit > 0
         self.proofs.append(at)
 
@@ -101,5 +101,5 @@
         home=True,
         make_tenure=make,
         log=Lines(),
-        slowness=Slowness(0.0),
+        claim_delay=ClaimDelay(0.0),
     )
--- a/tests/host/test_silent_callers.py
+++ b/tests/host/test_silent_callers.py
@@ -87,10 +87,10 @@
 @pytest_asyncio.fixture
 async def address(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[str]:
     """A listener whose answers are larger than what a connection holds unread."""
-    for name in ("HALF_REQUEST_S", "UNREAD_S"):
+    for name in ("MAX_REQUEST_HEAD_S", "MAX_UNREAD_S"):
         monkeypatch.setattr(connections, name, BOUND_S)
-    monkeypatch.setattr(connections, "SWEEP_S", 0.05)
-    monkeypatch.setattr(connections, "MAX_IDLE", 3)
+    monkeypatch.setattr(connections, "SWEEP_INTERVAL_S", 0.05)
+    monkeypatch.setattr(connections, "MAX_IDLE_CONNECTIONS", 3)
 
     async def answer(request: web.BaseRequest) -> web.Response:
         return web.Response(body=b"x" * (40_000_000 if request.path == "/large" else 10))
@@ -148,7 +148,7 @@
 async def test_a_caller_that_reads_slowly_is_not_cut_off(
     address: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connections, "UNREAD_S", 1.0)
+    monkeypatch.setattr(connections, "MAX_UNREAD_S", 1.0)
     reader, writer = await _connect(address, HEAD.replace(b"/ ", b"/large ") + b"\r\n")
     head = await reader.readuntil(b"\r\n\r\n")
     assert b"200" in head
--- a/tests/host/test_who_owns.py
+++ b/tests/host/test_who_owns.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from linkspan.host._slowness import DELAY_PER_LOAD_SECOND, MAX_CLAIM_DELAY_S, Slowness
+from linkspan.host._claim_delay import DELAY_PER_LOAD_SECOND, MAX_CLAIM_DELAY_S, ClaimDelay
 from linkspan.shard.ownership.ownership import RELEASED_S, SILENCE_S
 from tests.hall_world import HallWorld
 from tests.virtual_time import run_virtual
@@ -79,16 +79,16 @@
 
 
 def test_a_weak_host_waits_less_than_another_hall() -> None:
-    assert Slowness(60.0).delay_s == MAX_CLAIM_DELAY_S
+    assert ClaimDelay(60.0).delay_s == MAX_CLAIM_DELAY_S
     assert MAX_CLAIM_DELAY_S < RELEASED_S
 
 
 def test_a_host_that_lags_lets_others_first_for_a_while() -> None:
-    slowness = Slowness(FAST_S)
+    claim_delay = ClaimDelay(FAST_S)
     calm = DELAY_PER_LOAD_SECOND * FAST_S
-    assert slowness.delay_s == pytest.approx(calm)
-    slowness.record_lag(0.1)
-    assert slowness.delay_s == pytest.approx(calm + 0.1)
+    assert claim_delay.delay_s == pytest.approx(calm)
+    claim_delay.record_lag(0.1)
+    assert claim_delay.delay_s == pytest.approx(calm + 0.1)
     for _ in range(50):
-        slowness.record_lag(0.0)
-    assert slowness.delay_s == pytest.approx(calm, abs=0.001)
+        claim_delay.record_lag(0.0)
+    assert claim_delay.delay_s == pytest.approx(calm, abs=0.001)
--- a/tests/part_world.py
+++ b/tests/part_world.py
@@ -39,9 +39,11 @@
         await self._find(partition)
         return await super().end(partition, start)
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
         await self._find(partition)
-        return await super().newest_page(partition, after=after)
+        return await super().newest_records_page(partition, after=after)
 
     async def _find(self, partition: Partition) -> None:
         if (self._host, partition.topic) in self._away:
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -46,7 +46,7 @@
     client, _ = setup
     rows = [Record(b"1", b"a"), Record(b"2", b"b"), Record(b"3", b"a"), Record(b"", b"b")]
     await client.append(KEYED, [*rows, Record(b"4", b"c"), Record(b"5", b"d")])
-    page = await client.newest(KEYED)
+    page = await client.newest_records(KEYED)
     assert [(e.key, e.value, e.offset) for e in page.entries] == [
         (b"a", b"3", 2),
         (b"c", b"4", 4),
--- a/tests/standins/memory_store.py
+++ b/tests/standins/memory_store.py
@@ -213,19 +213,21 @@
         await self._bring(partition)
         return end
 
-    async def newest(self, partition: Partition) -> Page:
+    async def newest_records(self, partition: Partition) -> Page:
         entries: list[Entry] = []
         end = -1
         after: bytes | None = None
         while True:
-            page = await self.newest_page(partition, after=after)
+            page = await self.newest_records_page(partition, after=after)
             end = page.end if end < 0 else end
             entries += page.entries
             if not page.more:
                 return Page(tuple(entries), end)
             after = page.entries[-1].key
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
         delays = self._store.page_delays[self._host, partition]
         await asyncio.sleep(delays.pop(0) if delays else 0.0)
         await self._reach()
--- a/tests/standins/platform_http.py
+++ b/tests/standins/platform_http.py
@@ -126,7 +126,7 @@
         self, request: web.BaseRequest, place: Partition, link: StoreLink
     ) -> web.Response:
         after = request.query.get("dependsOn")
-        page = await link.newest_page(place, after=after.encode() if after else None)
+        page = await link.newest_records_page(place, after=after.encode() if after else None)
         items = [
             {
                 "privateKey": entry.key.decode(),
--- a/tests/store/test_follower_drawn.py
+++ b/tests/store/test_follower_drawn.py
@@ -28,8 +28,10 @@
         super().__init__(store, "h")
         self._memory = store
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        page = await super().newest_page(partition, after=after)
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
+        page = await super().newest_records_page(partition, after=after)
         await self._travel()
         return page
 
--- a/tests/store/test_listing.py
+++ b/tests/store/test_listing.py
@@ -61,9 +61,11 @@
         self.before_read: Callable[[], None] = lambda: None
         self.after_list: Callable[[], None] = lambda: None
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
         self.lists += after is None
-        page = await super().newest_page(partition, after=after)
+        page = await super().newest_records_page(partition, after=after)
         if not page.more:
             self.after_list()
         return page
