--- a/src/linkspan/platform/store.py
+++ b/src/linkspan/platform/store.py
@@ -109,17 +109,19 @@
         path = f"log-read?{_partition_query(partition)}&from={start}&max_kb={_MIN_READ_KB}"
         return _parse_end(await self._read_records(path))
 
-    async def newest(self, partition: Partition) -> Page:
-        """Read the newest record of each key; see :meth:`linkspan.store.types.Store.newest`."""
-        page = await self.newest_page(partition)
+    async def newest_records(self, partition: Partition) -> Page:
+        """Read each key's newest record; see :meth:`linkspan.store.types.Store.newest_records`."""
+        page = await self.newest_records_page(partition)
         entries, end = list(page.entries), page.end
         while page.more:
-            page = await self.newest_page(partition, after=entries[-1].key)
+            page = await self.newest_records_page(partition, after=entries[-1].key)
             entries += page.entries
         return Page(tuple(entries), end)
 
-    async def newest_page(self, partition: Partition, *, after: bytes | None = None) -> KeyPage:
-        """Read one page of keys; see :meth:`linkspan.store.types.Store.newest_page`."""
+    async def newest_records_page(
+        self, partition: Partition, *, after: bytes | None = None
+    ) -> KeyPage:
+        """Read one page of keys; see :meth:`linkspan.store.types.Store.newest_records_page`."""
         # "dependsOn" is the wire name of the key after which the page starts.
         rest = "" if after is None else f"&dependsOn={quote(after, safe='')}"
         status, data = await self._call("GET", f"log-newest?{_partition_query(partition)}{rest}")
--- a/src/linkspan/shard/reports/_watch.py
+++ b/src/linkspan/shard/reports/_watch.py
@@ -38,11 +38,11 @@
 """Minimum time between two figures of an executor that count, except from polls that waited. A
 figure covers the last half second, and polls in quick succession would count it repeatedly."""
 
-RETRY_S = 0.15
-"""First pause after an unanswered call to an executor; doubled up to ``MAX_RETRY_S``. Recovery
+INITIAL_BACKOFF_S = 0.15
+"""First pause after an unanswered call to an executor; doubled up to ``MAX_BACKOFF_S``. Recovery
 pauses for the same time when the store does not answer."""
 
-MAX_RETRY_S = 0.6
+MAX_BACKOFF_S = 0.6
 """Longest pause between calls to a silent executor."""
 
 MAX_FIRST_REFRESH_S = 3.5
@@ -173,16 +173,16 @@
         return {e.executor_id for e in executors if e.silent_since is not None}
 
     async def _watch(self, executor: ExecutorState) -> None:
-        pause = RETRY_S
+        pause = INITIAL_BACKOFF_S
         while self._core.executors.get(executor.executor_id) is executor:
             acknowledging = executor.ack_pending
             if await self._poll(executor, self._poll_wait_s(executor)):
-                pause = RETRY_S
+                pause = INITIAL_BACKOFF_S
                 if not acknowledging or executor.ack_pending or executor.unacked:
                     await self._wait_for_acknowledgements(executor)
             else:
                 await asyncio.sleep(pause)
-                pause = min(2 * pause, MAX_RETRY_S)
+                pause = min(2 * pause, MAX_BACKOFF_S)
 
     def _watch_new_incarnations(self) -> None:
         """Watch incarnations that were just found, and stop watching those that have ended."""
@@ -260,9 +260,9 @@
         if not unknown and not first:
             return report
         if first:
-            read = await self._job_registry.refresh(fresh_s=0.0, limit_s=MAX_FIRST_REFRESH_S)
+            read = await self._job_registry.refresh(max_age_s=0.0, timeout_s=MAX_FIRST_REFRESH_S)
         else:
-            read = await self._job_registry.refresh(fresh_s=0.0)
+            read = await self._job_registry.refresh(max_age_s=0.0)
         if read:
             return report
         return report.without(unknown)
@@ -279,7 +279,7 @@
         await asyncio.sleep(END_BATCH_S)
         executor.advance_acknowledged(steady())
         waited = END_BATCH_S
-        while executor.unacked and waited < MAX_RETRY_S and not executor.withholds_end(steady()):
+        while executor.unacked and waited < MAX_BACKOFF_S and not executor.withholds_end(steady()):
             await asyncio.sleep(END_BATCH_S / 2)
             waited += END_BATCH_S / 2
             executor.advance_acknowledged(steady())
--- a/src/linkspan/shard/tenure.py
+++ b/src/linkspan/shard/tenure.py
@@ -151,7 +151,7 @@
         """The shard's state and decisions."""
         return self._core
 
-    def proved(self, at: float, *, token_limit: int = 0) -> None:
+    def on_renewal_confirmed(self, at: float, *, token_limit: int = 0) -> None:
         """Record a proof that this tenure owned the shard at a steady time.
 
         Args:
