--- a/tests/shard/builders.py
+++ b/tests/shard/builders.py
@@ -30,13 +30,13 @@
 
 
 def ignore(_event: Event, **_fields: Any) -> None:
-    """Write nothing."""
+    """Discard the event."""
 
 
 def core_with(
     *steps: StepSpec, executors: int = 2, log: Callable[..., None] | None = None
 ) -> ShardCore:
-    """Return a core with executors that have answered and one job."""
+    """Return a core with one job and executors that have reported."""
     core = ShardCore(0, Bounds(), log=log or ignore)
     core.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     for index in range(executors):
@@ -46,6 +46,7 @@
 
 
 def add_executor(core: ShardCore, name: str, cpu: int = 8_000) -> None:
+    """Register an executor that is on the roster and has reported."""
     record = ExecutorRecord(
         name, "pool", f"{name}:1", "east", Demand(cpu, 32_000), frozenset(), "r"
     )
@@ -59,17 +60,19 @@
 
 
 def report(core: ShardCore, name: str, *ended: EndedTask, asked: float, now: float) -> None:
+    """Apply a report that lists no running tasks."""
     core.on_report(name, ExecutorReport(now, (), ended), asked=asked, now=now)
 
 
 def plan(core: ShardCore, now: float) -> list[StartOrder]:
-    """Plan and return the starts."""
+    """Plan and return the start orders."""
     Planner(core).plan(now, now)
     orders, core.orders = core.orders, []
     return [order for order in orders if isinstance(order, StartOrder)]
 
 
 def started(core: ShardCore, order: StartOrder, now: float) -> None:
+    """Apply an executor's answer that it has started a run."""
     core.on_started(order, StartAnswer(StartOutcome.STARTED, now), now)
 
 
--- a/tests/shard/test_advice.py
+++ b/tests/shard/test_advice.py
@@ -1,4 +1,4 @@
-"""Tickets of placement policies: asked for once, used while they hold."""
+"""Tests placement tickets: requested once per executor and used while they are valid."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 VALID_S = 3.0
 
 
-def advised(*, executors: int = 2) -> tuple[AdviceCache, StepRun]:
-    """Return the advice of a core with one job of one task, and its step."""
+def core_advice(*, executors: int = 2) -> tuple[AdviceCache, StepRun]:
+    """Return the advice cache of a core with one job of one task, and the job's step."""
     core = core_with(step(1), executors=executors)
     return core.advice, core.jobs[JOB].runs[0].steps[0]
 
 
-def test_an_executor_that_was_refused_is_not_asked_for_again() -> None:
-    advice, run = advised()
+def test_a_refused_executor_is_not_requested_again() -> None:
+    advice, run = core_advice()
     advice.request_tickets(run, ["e0", "e1"], 0.0)
     call = advice.next_call(0.0)
     assert call and call.executor_ids == ("e0", "e1")
@@ -33,8 +33,8 @@
     assert advice.next_call(1.0) is None
 
 
-def test_a_ticket_is_asked_for_again_before_it_ends() -> None:
-    advice, run = advised()
+def test_a_ticket_is_requested_again_before_it_expires() -> None:
+    advice, run = core_advice()
     advice.request_tickets(run, ["e0"], 0.0)
     call = advice.next_call(0.0)
     assert call
@@ -44,8 +44,8 @@
     assert advice.next_call(VALID_S) == call
 
 
-def test_a_call_that_failed_is_made_again_after_a_pause() -> None:
-    advice, run = advised()
+def test_a_failed_call_is_retried_after_a_delay() -> None:
+    advice, run = core_advice()
     advice.request_tickets(run, ["e0"], 0.0)
     call = advice.next_call(0.0)
     assert call
@@ -66,14 +66,14 @@
     assert call and call.step is second
 
 
-def test_a_job_that_moved_away_is_not_asked_for() -> None:
+def test_no_ticket_is_requested_for_a_moved_job() -> None:
     core = core_with(step(1))
     core.advice.request_tickets(core.jobs[JOB].runs[0].steps[0], ["e0"], 0.0)
     core.remove_moved(JOB)
     assert core.advice.next_call(0.0) is None
 
 
-def test_a_step_waits_for_its_ticket_and_keeps_to_the_executors_that_have_one() -> None:
+def test_a_step_waits_for_tickets_and_runs_only_on_executors_that_have_one() -> None:
     core = core_with(step(3))
     queue = Queue("batch", "h", "/b/", "pool", advice=AdviceRule(VALID_S))
     core.configure(Configuration(2, {"batch": queue}, {"pool": Service("pool")}))
@@ -86,7 +86,7 @@
 
 
 class Policy:
-    """A policy's service that is busy now and then and lets every second executor run."""
+    """A policy service that fails every third call and allows every second executor."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -96,11 +96,11 @@
         await asyncio.sleep(0.02 + 0.005 * len(executor_ids))
         if self.calls % 3 == 1:
             raise Unreachable("busy; ask later")
-        good = sorted(executor_ids)[::2]
-        return Advice({name: f"ticket-{name}" for name in good}, VALID_S)
+        allowed = sorted(executor_ids)[::2]
+        return Advice({name: f"ticket-{name}" for name in allowed}, VALID_S)
 
 
-def test_a_job_of_a_queue_with_a_policy_runs_through_whole_hosts() -> None:
+def test_hosts_run_a_job_of_a_queue_with_a_placement_policy() -> None:
     async def play() -> HallWorld:
         world = HallWorld(policy=Policy())
         await world.begin()
--- a/tests/shard/test_blocked.py
+++ b/tests/shard/test_blocked.py
@@ -1,4 +1,4 @@
-"""What a log line says of tasks that wait for room."""
+"""Tests the log line on tasks that wait for capacity."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.shard.builders import core_with, plan
 
 
-class Blocked:
-    """Keeps the fields of lines that tell of waiting tasks."""
+class BlockedLines:
+    """Collects the fields of log lines on blocked steps."""
 
     def __init__(self) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -20,8 +20,8 @@
             self.lines.append(fields)
 
 
-def test_the_line_names_what_speaks_against_each_executor_and_who_holds_the_hall() -> None:
-    blocked = Blocked()
+def test_the_line_gives_the_reason_per_executor_and_the_cores_in_use_per_priority() -> None:
+    blocked = BlockedLines()
     core = core_with(step(5, cpu=3_000), log=blocked)
     assert len(plan(core, 0.1)) == 4
     assert plan(core, 0.2) == []
@@ -30,8 +30,8 @@
     assert line["held_cores"] == {"free": 4, "best effort": 0, "priority 0": 12}
 
 
-def test_a_spread_limit_is_told_apart_from_want_of_room() -> None:
-    blocked = Blocked()
+def test_the_line_distinguishes_a_spread_limit_from_missing_capacity() -> None:
+    blocked = BlockedLines()
     core = core_with(step(3, cpu=1_000, max_per_executor=1), log=blocked)
     assert len(plan(core, 0.1)) == 2
     plan(core, 0.2)
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -1,4 +1,9 @@
-"""Which crashes are certain to have been under a task, and what it takes to give the task up."""
+"""Tests which crashes are certain to have happened under a run of a task, and how many of them
+give the task up.
+
+A run may have ended before its executor crashed, and a start without an answer may never have
+arrived. Such crashes count, but they alone must not fail a job.
+"""
 
 from __future__ import annotations
 
@@ -24,9 +29,9 @@
 REPLACED = "another incarnation answers"
 
 SHORT_S = 0.3
-"""Length of a task that ends soon."""
+"""Duration of a short task."""
 
-UNSURE = Crash("e9@1", 1, 4, certain=False)
+UNCERTAIN = Crash("e9@1", 1, 4, certain=False)
 
 
 def only_task(core: ShardCore) -> Task:
@@ -35,7 +40,7 @@
 
 
 def run_on(core: ShardCore, name: str, began: float, *, answered: bool = True) -> Attempt:
-    """Let a run of the task begin on an executor that answers just before."""
+    """Start a run of the task on an executor that reports just before."""
     if name not in core.executors:
         add_executor(core, name)
     report(core, name, asked=began - 0.02, now=began - 0.01)
@@ -48,47 +53,48 @@
     return run
 
 
-def fall(core: ShardCore, name: str, silent: float, gone: float) -> None:
+def crash_executor(core: ShardCore, name: str, silent: float, ended: float) -> None:
+    """Let an executor go silent and another incarnation answer."""
     core.on_silent(name, silent)
-    core.on_incarnation_ended(name, gone, REPLACED)
+    core.on_incarnation_ended(name, ended, REPLACED)
 
 
-def known_of(core: ShardCore) -> CrashHistory:
-    known = only_task(core).crash_history
-    assert known
-    return known
+def crash_history_of(core: ShardCore) -> CrashHistory:
+    history = only_task(core).crash_history
+    assert history
+    return history
 
 
-def test_a_run_that_may_have_ended_before_the_fall_is_no_certain_crash() -> None:
-    """Guards against a job given up by two crashes of which one was none.
+def test_a_crash_is_not_certain_if_the_run_may_have_ended_before_it() -> None:
+    """Guards against a job given up for two crashes of which one hit a run that had ended.
 
-    Its first run ended as done in the moment in which its executor fell for 10 ms, and nobody heard
-    the end; it was 0.3 s old, as long as it takes. The second was 0.1 s old.
+    The first run was done at the moment of its executor's crash, which lasted 10 ms, and its end
+    was not reported; it was 0.3 s old, its expected duration. The second run was 0.1 s old.
     """
     core = core_with(step(1, estimate_s=SHORT_S), executors=0)
     run_on(core, "e0@1", 12.693)
-    fall(core, "e0@1", 13.02, 13.021)
+    crash_executor(core, "e0@1", 13.02, 13.021)
     run_on(core, "e2@1", 14.422)
-    fall(core, "e2@1", 14.53, 14.54)
+    crash_executor(core, "e2@1", 14.53, 14.54)
     core.tick(14.54 + GIVE_UP_DELAY_S)
-    known = known_of(core)
-    assert (known.crash_count, known.confirmed_count, known.certain_count) == (2, 2, 1)
+    history = crash_history_of(core)
+    assert (history.crash_count, history.confirmed_count, history.certain_count) == (2, 2, 1)
     assert core.finished == []
 
 
-def test_runs_that_had_far_to_go_convict_at_the_second_crash() -> None:
-    """What crashes executors at once takes two of them, where no others fall."""
+def test_a_second_certain_crash_gives_the_task_up() -> None:
+    """A task that crashes executors at once is given up at the second crash in a stable hall."""
     core = core_with(step(1, estimate_s=SHORT_S), executors=0)
     for number, at in enumerate((12.0, 14.0)):
         run_on(core, f"e{number}@1", at)
-        fall(core, f"e{number}@1", at + 0.05, at + 0.06)
+        crash_executor(core, f"e{number}@1", at + 0.05, at + 0.06)
     core.tick(15.0)
-    assert known_of(core).certain_count == 2
+    assert crash_history_of(core).certain_count == 2
     assert [f.job_id for f in core.finished] == [JOB]
 
 
-def test_how_far_a_run_had_come_tells_whether_it_may_have_ended() -> None:
-    """Guards against long work that counts as certain by its age alone, or never does."""
+def test_progress_decides_whether_a_run_may_have_ended() -> None:
+    """Guards against crashes under long runs that are certain by age alone, or never certain."""
     for percent, certain in ((10, 1), (95, 0)):
         core = core_with(step(1, estimate_s=10.0), executors=0)
         run = run_on(core, "e0@1", 2.0)
@@ -96,146 +102,148 @@
         core.on_report(
             "e0@1", ExecutorReport(11.0, (row,), (), started_at_ms=1), asked=11.0, now=11.0
         )
-        fall(core, "e0@1", 12.0, 12.1)
-        assert known_of(core).certain_count == certain, percent
+        crash_executor(core, "e0@1", 12.0, 12.1)
+        assert crash_history_of(core).certain_count == certain, percent
 
 
-def test_where_executors_fall_by_themselves_three_crashes_must_be_certain() -> None:
-    """Guards against a job given up for short runs that met two of a hall's many falls.
+def test_in_an_unstable_hall_three_crashes_must_be_certain() -> None:
+    """Guards against a job given up for short runs that met two of a hall's many crashes.
 
-    Executors at which no run of it was fell twice of late.
+    Two executors without a run of the task crashed shortly before.
     """
     core = core_with(step(1, estimate_s=SHORT_S), executors=0)
     for name, at in (("x0@1", 1.0), ("x1@1", 5.0)):
         add_executor(core, name)
         report(core, name, asked=at - 0.1, now=at - 0.09)
-        fall(core, name, at, at + 0.05)
+        crash_executor(core, name, at, at + 0.05)
     for number, at in enumerate((12.0, 14.0)):
         run_on(core, f"e{number}@1", at)
-        fall(core, f"e{number}@1", at + 0.05, at + 0.06)
+        crash_executor(core, f"e{number}@1", at + 0.05, at + 0.06)
     core.tick(15.0)
-    assert known_of(core).crash_score >= 8
+    assert crash_history_of(core).crash_score >= 8
     assert core.finished == []
     run_on(core, "e2@1", 16.0)
-    fall(core, "e2@1", 16.05, 16.06)
+    crash_executor(core, "e2@1", 16.05, 16.06)
     core.tick(17.0)
     assert [f.job_id for f in core.finished] == [JOB]
 
 
-def test_no_verdict_comes_by_fewer_than_two_certain_crashes_nor_later_than_a_fifth() -> None:
-    """Guards against innocent jobs given up by doubts, and starts without end of the guilty."""
-    known = CrashHistory(1, 4, identified_crashes=(UNSURE,))
+def test_giving_up_takes_two_certain_crashes_or_a_fifth_crash() -> None:
+    """Guards against jobs given up for uncertain crashes, and crashing tasks started forever."""
+    history = CrashHistory(1, 4, identified_crashes=(UNCERTAIN,))
     for number in range(2, 5):
-        known = add_crash(known, Crash(f"e{number}@1", number, 4, certain=False), 0)
-        assert (known.certain_count, known.should_give_up) == (0, False)
-    assert add_crash(known, Crash("e5@1", 5, 2, certain=False), 0).should_give_up
+        history = add_crash(history, Crash(f"e{number}@1", number, 4, certain=False), 0)
+        assert (history.certain_count, history.should_give_up) == (0, False)
+    assert add_crash(history, Crash("e5@1", 5, 2, certain=False), 0).should_give_up
 
 
-def test_four_falls_that_were_mostly_none_convict_nobody() -> None:
-    """Guards against a job given up by four falls, of which three met starts without an answer.
+def test_four_mostly_unconfirmed_crashes_do_not_give_the_task_up() -> None:
+    """Guards against a job given up at four crashes, three of them under unanswered starts.
 
-    The fourth run ended well, and nobody heard of that before its executor's next life answered.
-    Only that run counts as heard of, and none as certain.
+    The fourth run succeeded, but its executor's next incarnation answered before the end was
+    reported. Only the crash under that run is confirmed, and none is certain.
     """
     core = core_with(step(1, estimate_s=1.0), executors=0)
-    for name, began, silent, gone in (
+    for name, began, silent, ended in (
         ("life-1@1", 52.54, 54.46, 55.92),
         ("life-12@1", 56.01, 56.85, 57.01),
         ("life-16@1", 59.07, 59.6, 59.64),
     ):
         run_on(core, name, began, answered=False)
-        fall(core, name, silent, gone)
+        crash_executor(core, name, silent, ended)
         for attempt in list(only_task(core).attempts):
-            core.close_attempt(attempt, gone)
+            core.close_attempt(attempt, ended)
     run_on(core, "life-17@1", 62.76)
-    fall(core, "life-17@1", 64.13, 65.28)
+    crash_executor(core, "life-17@1", 64.13, 65.28)
     core.tick(65.79)
-    known = known_of(core)
-    assert (known.confirmed_count, known.certain_count) == (1, 0)
+    history = crash_history_of(core)
+    assert (history.confirmed_count, history.certain_count) == (1, 0)
     assert core.finished == []
 
 
-def test_a_next_owner_and_another_hall_know_which_crashes_are_certain() -> None:
-    """Guards against a doubt that is taken for certain by whoever goes on with the count."""
-    named = (UNSURE, Crash("e8@1", 2, 4), Crash("e7@1", 3, 2, confirmed=False))
+def test_the_certainty_of_crashes_survives_an_owner_change_and_a_delegation() -> None:
+    """Guards against an uncertain crash that the next owner or another hall counts as certain."""
+    identified = (UNCERTAIN, Crash("e8@1", 2, 4), Crash("e7@1", 3, 2, confirmed=False))
     core = core_with(step(1))
     task = only_task(core)
     task.next_run = 5
-    core.set_crash_history(task, CrashHistory(3, 10, identified_crashes=named))
+    core.set_crash_history(task, CrashHistory(3, 10, identified_crashes=identified))
     run = core_with(step(1)).jobs[JOB].runs[0]
     restore_run(run, encode_run(core.jobs[JOB].runs[0]), 0.0)
     (restored,) = run.tasks()
     assert restored.crash_history
     assert [c.certainty for c in restored.crash_history.identified_crashes] == [1, 2, 0]
-    read = decode(*encode(Delegated(JOB, 1, (Delegation(0, 0, 1, 3, 10, named),))))
+    read = decode(*encode(Delegated(JOB, 1, (Delegation(0, 0, 1, 3, 10, identified),))))
     assert isinstance(read, Delegated)
     assert [c.certainty for c in read.delegations[0].identified_crashes] == [1, 2, 0]
 
 
-def test_a_start_on_record_without_an_answer_is_no_run_that_was_heard_of() -> None:
-    """Guards against a doubt of a former owner that counts as a crash for certain."""
+def test_a_crash_under_a_recorded_unanswered_start_is_unconfirmed() -> None:
+    """Guards against an unanswered start of a previous owner that counts as a confirmed crash."""
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
-    assert not known_after_fall(core).identified_crashes[0].confirmed
+    assert not history_after_crash_at_next_owner(core).identified_crashes[0].confirmed
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
     started(core, order, 1.1)
-    assert known_after_fall(core).identified_crashes[0].confirmed
+    assert history_after_crash_at_next_owner(core).identified_crashes[0].confirmed
 
 
-def known_after_fall(core: ShardCore) -> CrashHistory:
-    """Return what a next owner knows of the task once its executor fell."""
-    heir = core_with(step(1), executors=1)
-    heir.jobs.clear()
+def history_after_crash_at_next_owner(core: ShardCore) -> CrashHistory:
+    """Return the crash history of the task at a next owner, after the task's executor crashed."""
+    next_owner = core_with(step(1), executors=1)
+    next_owner.jobs.clear()
     progress = {0: encode_run(core.jobs[JOB].runs[0])}
-    heir.add_job(core.jobs[JOB].submitted, 30.0, inherited=True, begun=True, progress=progress)
-    fall(heir, "e0", 31.0, 31.1)
-    return known_of(heir)
+    next_owner.add_job(
+        core.jobs[JOB].submitted, 30.0, inherited=True, begun=True, progress=progress
+    )
+    crash_executor(next_owner, "e0", 31.0, 31.1)
+    return crash_history_of(next_owner)
 
 
-def test_a_crash_under_a_start_without_an_answer_counts_also_after_three() -> None:
-    """Guards against a sixth executor that a task takes down: BUDGET.
+def test_a_crash_under_an_unanswered_start_counts_after_three_crashes() -> None:
+    """Guards against a task that crashes six executors, more than its crash budget.
 
-    Three crashes were counted. The owner was lost right after the fourth start, of which the record
-    tells no answer; the next one did not count that crash, as it might have given the task up. The
-    fifth was the fourth by its count, and was spared for falls beside.
+    Three crashes are counted. The owner is lost right after the fourth start, whose answer is not
+    on record. If the next owner does not count the crash under that start, the fifth crash is the
+    fourth by its count, and simultaneous crashes of other executors can defer giving up the task.
     """
     core = core_with(step(1, estimate_s=60.0), executors=1)
-    named = tuple(Crash(f"e{number}@1", number, 2) for number in (1, 2, 3))
+    identified = tuple(Crash(f"e{number}@1", number, 2) for number in (1, 2, 3))
     only_task(core).next_run = 4
-    core.set_crash_history(only_task(core), CrashHistory(3, 7, identified_crashes=named))
+    core.set_crash_history(only_task(core), CrashHistory(3, 7, identified_crashes=identified))
     core.jobs[JOB].runs[0].durable = core.jobs[JOB].runs[0].version
     (order,) = plan(core, 10.0)
-    known = known_after_fall(core)
-    assert (known.crash_count, known.confirmed_count, known.should_give_up) == (4, 3, False)
-    assert add_crash(known, Crash("e5@1", order.run + 16, 2), 0).should_give_up
+    history = history_after_crash_at_next_owner(core)
+    assert (history.crash_count, history.confirmed_count, history.should_give_up) == (4, 3, False)
+    assert add_crash(history, Crash("e5@1", order.run + 16, 2), 0).should_give_up
 
 
-def test_where_executors_fall_by_themselves_runs_that_nobody_heard_of_give_no_task_up() -> None:
-    """Guards against a job given up at five crashes of which none was certain: LOST.
+def test_in_an_unstable_hall_unconfirmed_runs_do_not_give_the_task_up() -> None:
+    """Guards against a job given up at five crashes of which none was certain.
 
-    Executors fell every other second on a machine that was overloaded; two runs had been heard of,
-    and may have ended, three starts had no answer. All tasks of the job had ended well.
+    On an overloaded machine, executors crashed every other second. Two runs were confirmed and may
+    have ended, three starts were unanswered. All tasks of the job had succeeded.
     """
-    named = tuple(
+    identified = tuple(
         Crash(f"e{number}@1", number, 2, confirmed=number < 3, certain=False)
         for number in range(1, 6)
     )
-    known = CrashHistory(5, 7, identified_crashes=named)
-    assert known.should_give_up, "where nothing else falls, nothing else explains it"
-    assert not known.should_give_up_with(MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL)
-    assert not replace(known, give_up_deferred=True).must_give_up
+    history = CrashHistory(5, 7, identified_crashes=identified)
+    assert history.should_give_up, "in a stable hall only the task explains the crashes"
+    assert not history.should_give_up_with(MIN_CERTAIN_CRASHES_IN_UNSTABLE_HALL)
+    assert not replace(history, give_up_deferred=True).must_give_up
 
 
-def test_a_standing_run_that_was_taken_over_is_there_until_its_executor_falls() -> None:
-    """Guards against a standing task that crashes its executors and is certain at none of them.
+def test_a_crash_under_a_recovered_standing_run_is_certain() -> None:
+    """Guards against a standing task that crashes its executors without a certain crash.
 
-    It is at work, 100 percent of a length without end, of which nothing seemed to be left.
+    The run reports 100 percent of an unbounded duration, so nothing seems to remain of it.
     """
     core = core_with(step(1, standing=True), executors=0)
     run = run_on(core, "e0@1", 2.0)
     run.recovered = True
     row = RunningTask(run.task.name, run.run, "", 100, None)
     core.on_report("e0@1", ExecutorReport(3.0, (row,), (), started_at_ms=1), asked=3.0, now=3.0)
-    fall(core, "e0@1", 4.0, 4.1)
-    assert known_of(core).certain_count == 1
+    crash_executor(core, "e0@1", 4.0, 4.1)
+    assert crash_history_of(core).certain_count == 1
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -1,4 +1,4 @@
-"""The core alone: rules that need no sockets and no clock."""
+"""Tests rules of the shard core, without sockets and with explicit times."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.shard.builders import JOB, add_executor, core_with, plan, report, started, submitted
 
 
-def test_a_finished_job_is_not_taken_in_again() -> None:
+def test_a_finished_job_is_not_added_again() -> None:
     """Older records of a job may be read after its end was written."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
@@ -44,14 +44,14 @@
     assert plan(core, 1.2) == []
 
 
-def test_a_moved_job_is_not_taken_in_again() -> None:
+def test_a_moved_job_is_not_added_again() -> None:
     core = core_with(step(1))
     core.remove_moved(JOB)
     core.add_job(submitted(step(1)), 0.1)
     assert plan(core, 0.2) == []
 
 
-def test_a_step_that_is_handed_over_in_part_stays_ready() -> None:
+def test_a_partly_delegated_step_stays_ready() -> None:
     core = core_with(step(4, standing=True, max_per_executor=1))
     assert len(plan(core, 0.1)) == 2
     job = core.jobs[JOB]
@@ -63,69 +63,69 @@
     assert [order.task.index for order in plan(core, 0.3)] == [3]
 
 
-def _in_doubt(core: ShardCore, order: StartOrder, at: float) -> None:
-    """Have a start get no answer, and its executor answer a look that does not list it."""
+def _leave_unanswered(core: ShardCore, order: StartOrder, at: float) -> None:
+    """Leave a start unanswered and let its executor report without listing the run."""
     core.on_start_unanswered(order, at)
     assert plan(core, at + 0.01) == []
     report(core, order.executor_id, asked=at + 0.02, now=at + 0.03)
 
 
-def test_a_start_in_doubt_is_sent_again_as_the_same_run() -> None:
-    """A run begun elsewhere might run beside one whose order comes to the executor's next life."""
+def test_an_unanswered_start_is_sent_again_as_the_same_run() -> None:
+    """Guards against a second run elsewhere while the first begins at the next incarnation."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    _in_doubt(core, order, 1.1)
+    _leave_unanswered(core, order, 1.1)
     assert core.orders == [order]
     started(core, order, 1.2)
     core.orders.clear()
     assert plan(core, 1.3) == []
 
 
-def test_a_start_in_doubt_is_stopped_before_it_is_tried_elsewhere() -> None:
+def test_an_unanswered_start_is_stopped_before_the_task_starts_elsewhere() -> None:
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     for sent in range(1, MAX_UNANSWERED_STARTS):
-        _in_doubt(core, order, float(sent))
+        _leave_unanswered(core, order, float(sent))
         assert core.orders == [order]
         core.orders.clear()
-    _in_doubt(core, order, 9.0)
+    _leave_unanswered(core, order, 9.0)
     stop = StopOrder(order.executor_id, order.task, order.run)
     assert core.orders == [stop]
     core.orders.clear()
     core.on_stopped(stop, True, 9.4)
     report(core, order.executor_id, asked=9.35, now=9.5)
-    assert plan(core, 9.6) == [], "the look was asked before the stop was taken"
+    assert plan(core, 9.6) == [], "the poll was sent before the stop was taken"
     report(core, order.executor_id, asked=9.45, now=9.7)
     (again,) = plan(core, 9.8)
     assert again.run == order.run + 1
 
 
-def test_a_start_in_doubt_that_is_refused_when_sent_again_is_stopped_first() -> None:
-    """The order without an answer may still come, and find the room that the second did not."""
+def test_an_unanswered_start_that_is_refused_when_sent_again_is_stopped_first() -> None:
+    """The unanswered order may still arrive and find the capacity that the second one lacked."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    _in_doubt(core, order, 1.1)
+    _leave_unanswered(core, order, 1.1)
     core.orders.clear()
     core.on_started(order, StartAnswer(StartOutcome.NO_ROOM, 1.2), 1.2)
     assert core.orders == [StopOrder(order.executor_id, order.task, order.run)]
     assert plan(core, 1.9) == []
 
 
-def test_a_start_in_doubt_on_an_executor_that_leaves_is_not_sent_again() -> None:
-    """A start there would come after it was known to leave."""
+def test_an_unanswered_start_on_a_draining_executor_is_not_sent_again() -> None:
+    """A second start would arrive after the executor is known to leave."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     executor = core.executors[order.executor_id]
     executor.register(replace(executor.record, draining=True))
-    _in_doubt(core, order, 1.1)
+    _leave_unanswered(core, order, 1.1)
     assert core.orders == [StopOrder(order.executor_id, order.task, order.run)]
 
 
-def test_an_end_is_held_while_a_start_of_its_run_may_be_on_its_way() -> None:
-    """Guards against a run that begins at the next life after its end was acknowledged."""
+def test_an_end_is_withheld_while_a_start_of_its_run_may_still_arrive() -> None:
+    """Guards against a run that begins at the next incarnation after its end was acknowledged."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    _in_doubt(core, order, 1.1)
+    _leave_unanswered(core, order, 1.1)
     started(core, order, 1.2)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
     report(core, order.executor_id, end, asked=1.5, now=1.6)
@@ -136,8 +136,8 @@
     assert executor.advance_acknowledged(1.1 + MAX_START_DELAY_S)
 
 
-def test_no_end_is_held_that_would_hide_later_ones() -> None:
-    """Guards against lists that are full of ends that wait."""
+def test_withheld_ends_do_not_hide_later_ends() -> None:
+    """Guards against reports that are full of withheld ends."""
     core = core_with(step(1))
     executor = core.executors["e0"]
     executor.unacked.extend(
@@ -148,7 +148,7 @@
     assert len(executor.unacked) == MAX_ENDS_BEHIND_WITHHELD
 
 
-def test_an_end_is_not_held_where_the_only_order_for_its_run_was_carried_out() -> None:
+def test_an_end_is_not_withheld_if_the_only_start_of_its_run_arrived() -> None:
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     core.on_start_unanswered(order, 1.1)
@@ -176,7 +176,7 @@
     assert second.task != first.task
 
 
-def test_a_failure_that_a_former_owner_counted_is_not_counted_again() -> None:
+def test_a_failure_counted_by_the_previous_owner_is_not_counted_again() -> None:
     first = core_with(step(2))
     order = next(o for o in plan(first, 0.1) if o.task.index == 0)
     started(first, order, 0.2)
@@ -193,7 +193,7 @@
     assert second.jobs[JOB].runs[0].steps[0].tasks[0].failures == 1
 
 
-def _core_that_heard_one_of_two_inherited_executors() -> ShardCore:
+def _core_with_one_of_two_inherited_executors_reported() -> ShardCore:
     core = ShardCore(0, Bounds())
     core.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     records = [
@@ -208,14 +208,14 @@
 
 
 def test_inherited_work_waits_for_every_executor() -> None:
-    core = _core_that_heard_one_of_two_inherited_executors()
+    core = _core_with_one_of_two_inherited_executors_reported()
     assert plan(core, 0.2) == []
     report(core, "e1", asked=0.2, now=0.3)
     assert len(plan(core, 0.4)) == 1
 
 
-def test_a_silent_inherited_executor_is_waited_out() -> None:
-    core = _core_that_heard_one_of_two_inherited_executors()
+def test_inherited_work_waits_until_the_leases_of_a_silent_executor_expire() -> None:
+    core = _core_with_one_of_two_inherited_executors_reported()
     core.on_silent("e1", 1.0)
     assert plan(core, 19.0) == []
     assert len(plan(core, 20.1)) == 1
@@ -262,11 +262,11 @@
     changed = Queue("batch", "h", "/b/", "other", max_attempts=1)
     core.configure(Configuration(2, {"batch": changed}, {"other": Service("other")}))
     assert core.jobs[JOB].service == "other"
-    assert plan(core, 0.1) == [], "no executor of the new service is there"
+    assert plan(core, 0.1) == [], "the new service has no executor"
 
 
-def _core_that_serves_in(*, latency_ms: float) -> ShardCore:
-    """Return a core with a standing task, whose target is 10 ms, by its first report."""
+def _core_with_reported_latency(*, latency_ms: float) -> ShardCore:
+    """Return a core with a standing task, target 10 ms, that has reported a latency."""
     core = core_with(step(1, standing=True, image="s", latency_target_ms=10.0), executors=1)
     (serving,) = plan(core, 0.1)
     started(core, serving, 0.2)
@@ -276,7 +276,7 @@
 
 
 def test_best_effort_work_is_not_starved_by_pressure() -> None:
-    core = _core_that_serves_in(latency_ms=9.9)
+    core = _core_with_reported_latency(latency_ms=9.9)
     for second in range(20):
         core.interference.learn(core.executors["e0"], 1.0 + second)
     spec = JobSpec("00000000000000bb", QUEUE.name, "text", (best_effort_step(),))
@@ -285,8 +285,8 @@
     assert len(plan(core, 21.5)) == 1
 
 
-def test_best_effort_work_keeps_off_executors_with_a_disturbed_task() -> None:
-    core = _core_that_serves_in(latency_ms=11.0)
+def test_best_effort_work_avoids_executors_with_a_task_over_its_latency_target() -> None:
+    core = _core_with_reported_latency(latency_ms=11.0)
     Pacer(core, core.interference).on_report(core.executors["e0"], 1.0, 1.0)
     spec = JobSpec("00000000000000bb", QUEUE.name, "text", (best_effort_step(),))
     core.add_job(Submitted(spec, 0, 1.0, "host"), 1.0)
@@ -299,7 +299,7 @@
 
 
 def test_a_failed_task_does_not_wait_long_for_another_executor() -> None:
-    """It prefers others, but one failure says little of an executor."""
+    """The task prefers other executors, but one failure says little about an executor."""
     core = core_with(step(1, cpu=6_000), executors=2)
     (order,) = plan(core, 0.1)
     started(core, order, 0.2)
@@ -315,7 +315,7 @@
 
 
 def test_an_older_report_that_comes_later_changes_nothing() -> None:
-    """Answers on different connections may overtake each other."""
+    """Reports on different connections may arrive out of order."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     started(core, order, 0.2)
@@ -326,7 +326,7 @@
     assert core.executors[order.executor_id].attempts == {}
 
 
-def test_a_run_that_takes_long_gets_a_copy_where_that_is_allowed() -> None:
+def test_a_slow_run_of_a_speculative_step_gets_one_copy() -> None:
     core = core_with(step(3, speculative=True), step(1, depends_on=(0,)), executors=4)
     first, second, slow = plan(core, 0.1)
     for order in (first, second, slow):
@@ -347,7 +347,7 @@
     assert [order.task.step for order in plan(core, 3.1)] == [1]
 
 
-def test_a_run_of_a_step_without_copies_gets_none() -> None:
+def test_a_slow_run_of_a_step_without_speculation_gets_no_copy() -> None:
     core = core_with(step(3), executors=4)
     orders = plan(core, 0.1)
     for number, order in enumerate(orders, 1):
@@ -358,43 +358,47 @@
     assert plan(core, 1.9) == []
 
 
-def test_a_report_in_part_shows_no_run_as_missing() -> None:
-    """A new owner started a task again whose end stood behind one it could not judge."""
+def test_a_partial_report_does_not_mark_a_run_as_missing() -> None:
+    """Guards against a next owner that starts a task again although its run has ended.
+
+    The end is listed after the end of a job whose records the owner has not read, so it is left
+    out of the report.
+    """
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     started(core, order, 0.2)
     (run,) = core.jobs[JOB].runs.values()
-    heir = ShardCore(0, Bounds())
-    heir.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
+    next_owner = ShardCore(0, Bounds())
+    next_owner.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     records = [e.record for e in core.executors.values()]
-    heir.inherit(records, until=20.0)
-    heir.list_executors(records, 1.0)
-    heir.add_job(submitted(step(1)), 1.0, inherited=True, progress={0: encode_run(run)})
+    next_owner.inherit(records, until=20.0)
+    next_owner.list_executors(records, 1.0)
+    next_owner.add_job(submitted(step(1)), 1.0, inherited=True, progress={0: encode_run(run)})
     end = EndedTask(2, order.task, order.run, EndKind.DONE, "")
-    stranger = EndedTask(1, TaskName("00000000000000bb", 0, 0, 0), 1, EndKind.DONE, "")
-    whole = ExecutorReport(1.0, (), (stranger, end))
-    part = whole.without({"00000000000000bb"})
-    for name in heir.executors:
-        mine = part if name == order.executor_id else ExecutorReport(1.0, (), ())
-        heir.on_report(name, mine, asked=1.0, now=1.1)
-    assert plan(heir, 1.2) == []
-    assert heir.awaiting_reports
-    heir.on_report(order.executor_id, replace(whole, clock_s=2.0), asked=2.0, now=2.1)
-    assert plan(heir, 2.2) == []
-    assert [f.job_id for f in heir.finished] == [JOB]
-    assert not heir.awaiting_reports
-
-
-def test_a_report_in_part_leaves_inherited_work_in_doubt() -> None:
-    """A run that no record tells of may stand in the part that was left out."""
-    heir = ShardCore(0, Bounds())
-    heir.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
+    unread = EndedTask(1, TaskName("00000000000000bb", 0, 0, 0), 1, EndKind.DONE, "")
+    whole = ExecutorReport(1.0, (), (unread, end))
+    partial = whole.without({"00000000000000bb"})
+    for name in next_owner.executors:
+        answer = partial if name == order.executor_id else ExecutorReport(1.0, (), ())
+        next_owner.on_report(name, answer, asked=1.0, now=1.1)
+    assert plan(next_owner, 1.2) == []
+    assert next_owner.awaiting_reports
+    next_owner.on_report(order.executor_id, replace(whole, clock_s=2.0), asked=2.0, now=2.1)
+    assert plan(next_owner, 2.2) == []
+    assert [f.job_id for f in next_owner.finished] == [JOB]
+    assert not next_owner.awaiting_reports
+
+
+def test_inherited_work_waits_for_a_complete_report() -> None:
+    """The omitted part of a report may list a run that is on no record."""
+    next_owner = ShardCore(0, Bounds())
+    next_owner.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     record = ExecutorRecord("e0", "pool", "e0:1", "east", Demand(8_000, 9_000), frozenset(), "r")
-    heir.inherit([record], until=20.0)
-    heir.list_executors([record], 1.0)
-    heir.add_job(submitted(step(1)), 1.0, inherited=True)
-    part = ExecutorReport(1.0, (), (), is_complete=False)
-    heir.on_report("e0", part, asked=1.0, now=1.1)
-    assert plan(heir, 1.2) == []
-    heir.on_report("e0", replace(part, is_complete=True, clock_s=2.0), asked=2.0, now=2.1)
-    assert [order.run for order in plan(heir, 2.2)] == [16]
+    next_owner.inherit([record], until=20.0)
+    next_owner.list_executors([record], 1.0)
+    next_owner.add_job(submitted(step(1)), 1.0, inherited=True)
+    partial = ExecutorReport(1.0, (), (), is_complete=False)
+    next_owner.on_report("e0", partial, asked=1.0, now=1.1)
+    assert plan(next_owner, 1.2) == []
+    next_owner.on_report("e0", replace(partial, is_complete=True, clock_s=2.0), asked=2.0, now=2.1)
+    assert [order.run for order in plan(next_owner, 2.2)] == [16]
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -1,4 +1,4 @@
-"""What an owner makes of executors that crash, and of the tasks that were there."""
+"""Tests how an owner handles executor crashes and counts them against the tasks running there."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from tests.virtual_time import run_virtual
 
 
-def test_a_crash_names_the_tasks_that_were_there() -> None:
-    """Those that began last come first: what crashes an executor does so soon."""
+def test_the_log_line_on_a_crash_lists_the_tasks_that_were_running() -> None:
+    """Runs started last come first: a task that crashes its executor does so soon."""
     lines: list[dict[str, Any]] = []
 
     def log(event: Event, **fields: Any) -> None:
@@ -43,7 +43,7 @@
     assert second.run == 1
 
 
-def test_an_executor_that_leaves_as_it_said_has_not_crashed() -> None:
+def test_a_drained_executor_that_leaves_has_not_crashed() -> None:
     lines: list[Event] = []
     core = core_with(step(1), executors=1, log=lambda event, **_fields: lines.append(event))
     plan(core, 1.0)
@@ -54,8 +54,8 @@
     assert Event.EXECUTOR_CRASHED not in lines
 
 
-def test_a_start_that_another_incarnation_refuses_was_not_there_when_its_executor_fell() -> None:
-    """Such an order comes after the fall: it would make its task look as if it had done it."""
+def test_a_start_refused_by_the_next_incarnation_counts_as_no_crash() -> None:
+    """Guards against a crash counted for a start that arrived after the crash."""
 
     async def play() -> HallWorld:
         world = await day(resets=False, lists_machines=False, executors_per_hall=1)
@@ -69,7 +69,7 @@
 
 
 def test_a_start_whose_connection_is_refused_was_never_sent() -> None:
-    """Nothing listens where an executor fell a moment ago; its task may start elsewhere at once."""
+    """Nothing listens after a crash, so the task may start elsewhere at once."""
 
     async def play() -> HallWorld:
         world = await day(executors_per_hall=2)
@@ -84,20 +84,20 @@
     assert world.log.named("EXECUTOR_CRASHED") == []
 
 
-def test_suspects_that_waited_for_long_still_keep_apart() -> None:
-    """A suspect that may wait no longer goes to an executor where no other is tried."""
+def test_isolated_tasks_that_waited_long_still_start_apart() -> None:
+    """An isolated task past its wait goes to an executor that runs no other isolated task."""
     core = core_with(step(2), executors=2)
     place(core, core.executors["e1"], cpu=6_000)
     for task in core.jobs[JOB].runs[0].tasks():
         core.set_crash_history(task, CrashHistory(1, 4))
     (tried,) = plan(core, 1.0)
-    assert tried.executor_id == "e0", "where least is lost"
-    (late,) = plan(core, 3.5)
-    assert late.executor_id == "e1"
+    assert tried.executor_id == "e0", "the executor with the least work to lose"
+    (second,) = plan(core, 3.5)
+    assert second.executor_id == "e1"
 
 
-def test_a_suspect_that_failed_everywhere_is_started_again() -> None:
-    """It waited for ever: a task that failed on an executor avoids it, but not for good."""
+def test_an_isolated_task_that_failed_on_all_executors_is_started_again() -> None:
+    """Guards against an endless wait: a task avoids executors that it failed on only for a time."""
     core = core_with(step(1), executors=2)
     (task,) = core.jobs[JOB].runs[0].tasks()
     core.set_crash_history(task, CrashHistory(1, 4))
@@ -105,24 +105,26 @@
     assert plan(core, 3.5)
 
 
-def test_a_crash_that_names_nobody_convicts_nobody_before_the_last() -> None:
-    """Two tasks were there each time: one of them is innocent, and is tried apart once more."""
-    known = None
+def test_ambiguous_crashes_give_no_task_up_before_the_crash_limit() -> None:
+    """With two tasks running at each crash, one is innocent and is tried in isolation once more."""
+    history = None
     for run, points in enumerate((3, 3, 2)):
-        known = add_crash(known, Crash(f"e{run}", run, points), 0)
-        assert not known.should_give_up
+        history = add_crash(history, Crash(f"e{run}", run, points), 0)
+        assert not history.should_give_up
     last = Crash("e3", 3, 2)
-    assert add_crash(known, last, 0).should_give_up, (
-        "whatever they count, four crashes are the most"
+    assert add_crash(history, last, 0).should_give_up, (
+        "four crashes are the limit, whatever their points"
+    )
+    assert add_crash(CrashHistory(2, 6), Crash("e2", 2, 3), 0).should_give_up, (
+        "the points of the crash give the task up"
     )
-    assert add_crash(CrashHistory(2, 6), Crash("e2", 2, 3), 0).should_give_up, "it was named"
 
 
-def test_an_empty_executor_that_fell_beside_speaks_for_the_tasks_of_others() -> None:
-    """A rack that loses power takes idle executors along; found gone first, one left no trace.
+def test_a_simultaneous_crash_of_an_idle_executor_lowers_the_score_of_tasks_elsewhere() -> None:
+    """Guards against 4 points instead of 2 for tasks on a rack that loses power.
 
-    The fall of an executor without work was not kept, so the crash beside it named its tasks:
-    4 points instead of 2.
+    The idle executor of the rack is found to be gone first; if its crash is not kept, the second
+    crash is counted against its tasks alone.
     """
     core = core_with(step(1), executors=2)
     (task,) = core.jobs[JOB].runs[0].tasks()
@@ -134,12 +136,12 @@
     assert task.crash_history == CrashHistory(1, 2, version=1)
 
 
-def test_a_start_without_an_answer_convicts_no_task() -> None:
-    """It may have come to an executor that had fallen a moment before, as in soak seed 9246.
+def test_a_crash_under_an_unanswered_start_gives_no_task_up() -> None:
+    """Guards against a job given up for starts that may not have arrived, as in soak seed 9246.
 
-    There a job was given up for three crashes, of which two were such starts: only one
-    executor had crashed under its task, and the platform asks for two. Such a start counted 3
-    points, which name its task; it counts the least, and so names nobody.
+    Two of its three counted crashes were under unanswered starts, which may have been sent to an
+    executor that had just crashed. Giving up takes two crashes under the task. An unanswered start
+    counted 3 points, enough to give the task up; it counts the fewest points.
     """
     core = core_with(step(1), executors=1)
     (task,) = core.jobs[JOB].runs[0].tasks()
@@ -152,16 +154,16 @@
 
 
 def place_task(core: ShardCore, task: Task, executor_id: str, *, began: float) -> None:
-    """Put a run of a task on an executor, where it began at some time."""
+    """Put a run of a task on an executor, started at a given time."""
     run = Attempt(task, task.next_run, executor_id, Phase.RUNNING, began, confirmed_at=began)
     core.attach(core.executors[executor_id], run)
 
 
-def test_a_start_without_an_answer_counts_once_over_all_lives_that_it_may_come_to() -> None:
-    """Jobs were given up with one executor crashed under them, or none (soak seed 9503).
+def test_an_unanswered_start_counts_one_crash_over_several_incarnations() -> None:
+    """Guards against jobs given up after one real crash or none (soak seed 9503).
 
-    A start without an answer goes on to the next life of its executor, and counted at the end of
-    each; and each further start that met an executor that was down counted, too.
+    An unanswered start is carried over to the next incarnation of its executor and counted at the
+    end of each; each further start sent to a crashed executor counted too.
     """
     core = core_with(step(1), executors=0)
     add_executor(core, "e0@1")
@@ -175,7 +177,7 @@
     assert task.crash_history and task.crash_history.crash_count == 1
 
 
-def test_starts_without_an_answer_convict_nobody() -> None:
+def test_an_unanswered_start_does_not_reach_the_crash_limit() -> None:
     core = core_with(step(1), executors=1)
     (task,) = core.jobs[JOB].runs[0].tasks()
     core.set_crash_history(task, CrashHistory(3, 7))
@@ -187,8 +189,8 @@
     assert core.finished == []
 
 
-def test_a_last_trial_does_not_wait_for_ever_for_a_place_of_its_own() -> None:
-    """Guards against a job that never ends where the only sound executor is full for good."""
+def test_a_last_attempt_does_not_wait_forever_for_an_executor_of_its_own() -> None:
+    """Guards against a job that never ends if the only sound executor is always full."""
     core = core_with(step(1, cpu=4_000))
     (task,) = core.jobs[JOB].runs[0].steps[0].tasks
     place(core, core.executors["e0"], cpu=8_000, standing=True)
@@ -199,37 +201,37 @@
     assert order.executor_id == "e1"
 
 
-def fall_under(core: ShardCore, task: Task, executor_id: str, began: float) -> None:
-    """Let an executor that answered up to then fall right after a run of a task began."""
+def crash_under_task(core: ShardCore, task: Task, executor_id: str, began: float) -> None:
+    """Let an executor that just reported crash right after a run of a task began."""
     report(core, executor_id, asked=began - 0.02, now=began - 0.01)
     place_task(core, task, executor_id, began=began)
     core.on_silent(executor_id, began + 0.01)
     core.on_incarnation_ended(executor_id, began + 0.1, "another incarnation answers")
 
 
-def test_a_task_does_not_start_between_the_crash_that_convicts_it_and_its_verdict() -> None:
-    """Guards against one more executor lost, with all work there, where a plan is made first.
+def test_a_task_does_not_start_while_it_is_about_to_be_given_up() -> None:
+    """Guards against one more crashed executor if a plan runs just before the task is given up.
 
-    The wait for the verdict was over at the moment at which that was due.
+    The task's wait ended at the very moment at which it was due to be given up.
     """
     core = core_with(step(1), executors=3)
     (task,) = core.jobs[JOB].runs[0].tasks()
     core.jobs[JOB].runs[0].durable = float("inf")
     for at, name in ((10.0, "e0"), (20.0, "e1")):
-        fall_under(core, task, name, at)
+        crash_under_task(core, task, name, at)
     assert task.crash_history and task.crash_history.should_give_up
     assert plan(core, 20.1 + GIVE_UP_DELAY_S) == []
     core.tick(20.1 + GIVE_UP_DELAY_S)
     assert [f.job_id for f in core.finished] == [JOB]
 
 
-def test_a_task_whose_last_crash_named_it_wrongly_starts_again() -> None:
-    """An executor that fell beside is found before the verdict."""
+def test_a_task_starts_again_after_a_simultaneous_crash_clears_it() -> None:
+    """A simultaneous crash of another executor is found before the task is given up."""
     core = core_with(step(1), executors=3)
     (task,) = core.jobs[JOB].runs[0].tasks()
     core.jobs[JOB].runs[0].durable = float("inf")
     for at, name in ((10.0, "e0"), (20.0, "e1")):
-        fall_under(core, task, name, at)
+        crash_under_task(core, task, name, at)
     assert task.crash_history and task.crash_history.should_give_up
     core.on_silent("e2", 20.05)
     core.on_incarnation_ended("e2", 20.2, "another incarnation answers")
@@ -239,27 +241,33 @@
     assert plan(core, 20.1 + GIVE_UP_DELAY_S)
 
 
-def test_a_crash_convicts_no_task_beside_which_others_had_crashed_executors_before() -> None:
-    """Guards against a task given up at its third crash for what fell beside it.
+def test_a_crash_does_not_give_a_task_up_if_a_colocated_task_has_a_crash_history() -> None:
+    """Guards against a task given up at its third crash for what a colocated task did.
 
-    It was suspected most there, and what had crashed the executor was at its second.
+    The task has the highest score on the executor, and the colocated task caused its second crash.
     """
     core = core_with(step(1), step(1), executors=2)
-    suspected, other = core.jobs[JOB].runs[0].tasks()
-    core.set_crash_history(suspected, CrashHistory(2, 7))
+    scored, other = core.jobs[JOB].runs[0].tasks()
+    core.set_crash_history(scored, CrashHistory(2, 7))
     core.set_crash_history(other, CrashHistory(1, 2))
     place_task(core, other, "e0", began=10.0)
-    fall_under(core, suspected, "e0", 10.0)
-    known = suspected.crash_history
-    assert known and (known.crash_count, known.crash_score, known.should_give_up) == (3, 7, False)
-    fall_under(core, suspected, "e1", 20.0)
-    assert suspected.crash_history and suspected.crash_history.should_give_up, "it was alone there"
+    crash_under_task(core, scored, "e0", 10.0)
+    history = scored.crash_history
+    assert history and (history.crash_count, history.crash_score, history.should_give_up) == (
+        3,
+        7,
+        False,
+    )
+    crash_under_task(core, scored, "e1", 20.0)
+    assert scored.crash_history and scored.crash_history.should_give_up, (
+        "no other task was running there"
+    )
 
 
-def test_a_crash_still_convicts_beside_work_that_no_executor_had_crashed_under() -> None:
+def test_a_crash_gives_a_task_up_if_no_colocated_task_has_a_crash_history() -> None:
     core = core_with(step(1), step(1), executors=1)
-    suspected, other = core.jobs[JOB].runs[0].tasks()
-    core.set_crash_history(suspected, CrashHistory(1, 4))
+    scored, other = core.jobs[JOB].runs[0].tasks()
+    core.set_crash_history(scored, CrashHistory(1, 4))
     place_task(core, other, "e0", began=10.0)
-    fall_under(core, suspected, "e0", 10.0)
-    assert suspected.crash_history and suspected.crash_history.should_give_up
+    crash_under_task(core, scored, "e0", 10.0)
+    assert scored.crash_history and scored.crash_history.should_give_up
--- a/tests/shard/test_cut_reports.py
+++ b/tests/shard/test_cut_reports.py
@@ -1,4 +1,7 @@
-"""Reports of which a part is left out, since the records of a job in them are not read."""
+"""Tests partial reports, which omit ends listed after the end of a job whose records are not read.
+
+The owner must not conclude from a partial report that a run is lost or that a job has not begun.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +25,8 @@
 UNREAD = "00000000000000bb"
 
 
-def test_an_end_that_was_left_out_of_a_report_is_no_lost_run() -> None:
-    """Else its task is started once more, though the executor lists it as done."""
+def test_an_end_that_is_missing_from_a_partial_report_is_no_lost_run() -> None:
+    """Guards against a task started again although the executor lists it as done."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     started(core, order, 0.2)
@@ -36,17 +39,17 @@
     assert core.orders == []
 
 
-def test_a_job_whose_end_was_left_out_of_a_first_report_does_not_move() -> None:
-    """Else it has not begun for its new owner, and the other hall runs all of it again."""
-    heir = ShardCore(0, Bounds())
-    heir.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
+def test_a_job_whose_end_is_missing_from_a_first_report_does_not_move() -> None:
+    """Guards against a job that seems not to have begun, moves, and runs again in another hall."""
+    next_owner = ShardCore(0, Bounds())
+    next_owner.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     record = ExecutorRecord("e0", "pool", "e0:1", "east", Demand(8_000, 9_000), frozenset(), "r")
-    heir.inherit([record], until=20.0)
-    heir.list_executors([record], 1.0)
-    heir.add_job(submitted(step(1), step(1, cpu=9_000)), 1.0, inherited=True)
+    next_owner.inherit([record], until=20.0)
+    next_owner.list_executors([record], 1.0)
+    next_owner.add_job(submitted(step(1), step(1, cpu=9_000)), 1.0, inherited=True)
     unread = EndedTask(1, TaskName(UNREAD, 0, 0, 0), 1, EndKind.DONE, "")
     done = EndedTask(2, TaskName(JOB, 0, 0, 0), 1, EndKind.DONE, "")
     whole = ExecutorReport(1.0, (), (unread, done))
-    heir.on_report("e0", whole.without({UNREAD}), asked=1.0, now=1.0)
-    rebalancer = Rebalancer(heir, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
+    next_owner.on_report("e0", whole.without({UNREAD}), asked=1.0, now=1.0)
+    rebalancer = Rebalancer(next_owner, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
     assert rebalancer.plan(FULL, 1.1 + HANDOVER_WAIT_S) == []
--- a/tests/shard/test_effect_news.py
+++ b/tests/shard/test_published_effects.py
@@ -1,4 +1,4 @@
-"""What owners tell of learnt effects, and what other hosts make of it."""
+"""Tests which learned interference effects owners publish, and how other hosts merge them."""
 
 from __future__ import annotations
 
@@ -18,18 +18,22 @@
 )
 from linkspan.store.types import Entry
 
-STANDING = 16
-IMAGES = 30
-"""Images that tasks of a hall had on the largest deployment that was played."""
+STANDING_IMAGES = 16
+BEST_EFFORT_IMAGES = 30
+"""Images of the tasks of a hall in the largest simulated deployment."""
 
-MOST_BYTES = 1_200
-"""Bytes of news in a summary: five halls tell one in 1.2 s, and a host is to spend a few
-kilobytes a second on all that it follows."""
+MAX_EFFECTS_BYTES = 1_200
+"""Limits the effects in a summary: five halls publish one in 1.2 s, and a host is to spend a few
+kilobytes per second on all summaries that it follows."""
 
 
 def pairs(count: int, *, seed: int = 0) -> list[PairEffect]:
     random = Random(seed)
-    names = [(f"s{s:05x}", f"b{i:05x}") for s in range(STANDING) for i in range(IMAGES)]
+    names = [
+        (f"s{s:05x}", f"b{i:05x}")
+        for s in range(STANDING_IMAGES)
+        for i in range(BEST_EFFORT_IMAGES)
+    ]
     return [
         PairEffect(standing, image, random.uniform(0.0, 0.2), 1e-4)
         for standing, image in names[:count]
@@ -41,46 +45,46 @@
     return Entry(offset, OwnerRecord(OwnerAct.RENEW, "a", "a-1", 1, offset, summary).encode())
 
 
-def test_news_of_all_pairs_of_a_large_hall_stay_short() -> None:
-    news = EffectSelector()
-    known = pairs(STANDING * IMAGES)
+def test_the_published_effects_of_a_large_hall_stay_short() -> None:
+    selector = EffectSelector()
+    known = pairs(STANDING_IMAGES * BEST_EFFORT_IMAGES)
     for _ in range(60):
-        told = HallSummary(effects=news.select(known)).encode()
+        selected = HallSummary(effects=selector.select(known)).encode()
         bare = HallSummary().encode()
-        assert len(str(told)) - len(str(bare)) <= MOST_BYTES
+        assert len(str(selected)) - len(str(bare)) <= MAX_EFFECTS_BYTES
 
 
-def test_each_pair_is_told_in_its_turn() -> None:
-    news = EffectSelector()
+def test_each_pair_is_published_in_turn() -> None:
+    selector = EffectSelector()
     known = pairs(300)
     rounds = -(-len(known) // MAX_PUBLISHED_IN_TURN)
-    told = {(e.standing, e.image) for _ in range(rounds) for e in news.select(known)}
-    assert len(told) == len(known)
-    again = {(e.standing, e.image) for _ in range(rounds) for e in news.select(known)}
-    assert again == told
+    selected = {(e.standing, e.image) for _ in range(rounds) for e in selector.select(known)}
+    assert len(selected) == len(known)
+    again = {(e.standing, e.image) for _ in range(rounds) for e in selector.select(known)}
+    assert again == selected
 
 
-def test_what_changed_most_is_told_at_once() -> None:
-    news = EffectSelector()
+def test_the_most_changed_effects_are_published_at_once() -> None:
+    selector = EffectSelector()
     known = pairs(300)
     for _ in range(40):
-        news.select(known)
+        selector.select(known)
     changed = known[250:255]
     known[250:255] = [effect._replace(mean=effect.mean + 0.1) for effect in changed]
-    told = {(e.standing, e.image): e for e in news.select(known)}
-    assert [told[e.standing, e.image].mean for e in changed] == [e.mean + 0.1 for e in changed]
-    assert len(told) <= MAX_PUBLISHED_IN_TURN + MAX_PUBLISHED_AS_CHANGED
+    selected = {(e.standing, e.image): e for e in selector.select(known)}
+    assert [selected[e.standing, e.image].mean for e in changed] == [e.mean + 0.1 for e in changed]
+    assert len(selected) <= MAX_PUBLISHED_IN_TURN + MAX_PUBLISHED_AS_CHANGED
 
 
-def test_a_pair_that_is_known_no_more_is_not_told() -> None:
-    news = EffectSelector()
+def test_a_pair_that_is_no_longer_known_is_not_published() -> None:
+    selector = EffectSelector()
     known = pairs(5)
-    assert len(news.select(known)) == 5
-    assert set(news.select(known[:2])) == set(known[:2])
-    assert news.select([]) == ()
+    assert len(selector.select(known)) == 5
+    assert set(selector.select(known[:2])) == set(known[:2])
+    assert selector.select([]) == ()
 
 
-def test_a_host_adds_up_what_it_is_told() -> None:
+def test_a_host_merges_the_effects_of_several_records() -> None:
     view = OwnerView("me", "me-1", home=False)
     first, second, later = pairs(3)
     view.apply(record(0, first, second), 0.0)
--- a/tests/shard/test_crashes_that_were_none.py
+++ b/tests/shard/test_retracted_crashes.py
@@ -1,4 +1,8 @@
-"""Executors that seemed to crash under a task, and what is told of it later."""
+"""Tests crashes under a task that turn out not to have been crashes, or not under this task.
+
+A start without an answer may never have arrived, an executor may have left as planned or have been
+disconnected, and a run may have ended before the crash.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +24,23 @@
     return task
 
 
-def fall(core: ShardCore, name: str, silent: float, gone: float) -> None:
-    """Let an executor go silent, and another one answer at its address."""
+def crash_executor(core: ShardCore, name: str, silent: float, ended_at: float) -> None:
+    """Let an executor go silent, and another incarnation answer at its address."""
     core.on_silent(name, silent)
-    core.on_incarnation_ended(name, gone, REPLACED)
+    core.on_incarnation_ended(name, ended_at, REPLACED)
 
 
-def empty(core: ShardCore, name: str, started_at_ms: int, *, asked: float, now: float) -> None:
-    """Let a life answer that lists nothing."""
+def report_nothing(
+    core: ShardCore, name: str, started_at_ms: int, *, asked: float, now: float
+) -> None:
+    """Let an incarnation report that it has no runs."""
     core.on_report(
         name, ExecutorReport(now, (), (), started_at_ms=started_at_ms), asked=asked, now=now
     )
 
 
-def recorded(core: ShardCore) -> None:
-    """Take in that all is on record: suspects start only then."""
+def set_all_durable(core: ShardCore) -> None:
+    """Mark all progress as durable: tasks with a crash history start only then."""
     core.jobs[JOB].runs[0].durable = float("inf")
 
 
@@ -42,7 +48,7 @@
     """Add an executor, have the task started there and return the run's number."""
     add_executor(core, name)
     report(core, name, asked=now - 0.02, now=now - 0.01)
-    recorded(core)
+    set_all_durable(core)
     (order,) = plan(core, now)
     assert order.executor_id == name
     clock = core.executors[name].clock
@@ -54,61 +60,66 @@
 
 
 def crash_four_times_one_unanswered(core: ShardCore) -> None:
-    """Play four falls under a task, at the third of which nobody knows that its run was there.
+    """Let four executors crash under the task, the third under an unanswered start.
 
-    The third start is on its way when its executor's next life answers; that takes a stop of it.
+    The third start may still arrive when its executor's next incarnation answers, and is stopped
+    there.
     """
     start_on(core, "life-1", 52.6)
-    fall(core, "life-1", 54.46, 55.92)
+    crash_executor(core, "life-1", 54.46, 55.92)
     start_on(core, "life-12", 56.02)
-    fall(core, "life-12", 56.85, 57.01)
+    crash_executor(core, "life-12", 56.85, 57.01)
     run = start_on(core, "life-16@1", 59.07, answered=False)
     core.on_silent("life-16@1", 59.63)
-    empty(core, "life-16@1", 2, asked=59.63, now=59.64)
-    (unsure,) = only_task(core).attempts
-    assert (unsure.run, unsure.executor_id) == (run, "life-16@2")
-    unsure.start_may_arrive_until = 72.16
-    core.order_stop(unsure, 60.2)
+    report_nothing(core, "life-16@1", 2, asked=59.63, now=59.64)
+    (unanswered,) = only_task(core).attempts
+    assert (unanswered.run, unanswered.executor_id) == (run, "life-16@2")
+    unanswered.start_may_arrive_until = 72.16
+    core.order_stop(unanswered, 60.2)
     stop = next(order for order in core.orders if isinstance(order, StopOrder))
     core.on_stopped(stop, True, 60.3)
-    empty(core, "life-16@2", 2, asked=60.4, now=60.5)
-    assert only_task(core).attempts == [unsure], "the next life may get it until 72.16"
+    report_nothing(core, "life-16@2", 2, asked=60.4, now=60.5)
+    assert only_task(core).attempts == [unanswered], (
+        "the start may reach the next incarnation until 72.16"
+    )
     core.on_incarnation_ended("life-16@2", 60.6, REPLACED)
-    assert only_task(core).attempts == [], "now there is none"
+    assert only_task(core).attempts == [], "there is no next incarnation now"
     start_on(core, "life-17@1", 62.77)
     core.on_silent("life-17@1", 64.13)
-    empty(core, "life-17@1", 2, asked=65.2, now=65.28)
+    report_nothing(core, "life-17@1", 2, asked=65.2, now=65.28)
     core.tick(65.79)
 
 
-def test_a_start_that_nobody_knows_to_have_been_there_is_not_the_fourth_crash() -> None:
-    """Guards against a job given up at four crashes of which one was a start without an answer.
+def test_an_unanswered_start_is_not_the_fourth_crash() -> None:
+    """Guards against a job given up at four crashes of which one was under an unanswered start.
 
-    The job's tasks had all ended well; one executor at the most had crashed under this one.
+    All tasks of the job had succeeded; at most one executor had crashed under this one.
     """
     core = core_with(step(1), executors=0)
     crash_four_times_one_unanswered(core)
     assert core.finished == []
     start_on(core, "life-18", 70.0)
-    fall(core, "life-18", 70.1, 70.2)
+    crash_executor(core, "life-18", 70.1, 70.2)
     core.tick(71.0)
-    assert [f.job_id for f in core.finished] == [JOB], "five starts are the most"
+    assert [f.job_id for f in core.finished] == [JOB], "five starts are the limit"
 
 
-def test_a_draining_entry_that_is_read_after_the_fall_takes_the_crash_back() -> None:
-    """Guards against planned leaves that count as crashes where the store answers late."""
+def test_a_draining_entry_read_after_the_crash_retracts_it() -> None:
+    """Guards against planned departures that count as crashes while the store is slow."""
     core = core_with(step(1), executors=0)
     start_on(core, "life-12", 56.02)
     record = core.executors["life-12"].record
-    fall(core, "life-12", 56.85, 57.01)
+    crash_executor(core, "life-12", 56.85, 57.01)
     assert only_task(core).crash_history
     core.list_executors([replace(record, draining=True, remaining_s=1.0)], 57.5)
     assert only_task(core).crash_history is None
-    assert core.executor_crashes == [], "and it speaks for no other task, nor against its address"
+    assert core.executor_crashes == [], (
+        "it is no simultaneous crash for other tasks, nor one at its address"
+    )
 
 
-def test_an_executor_that_was_cut_off_and_answers_again_has_not_crashed() -> None:
-    """Guards against crashes counted for cuts that last longer than leases and entries."""
+def test_a_disconnected_executor_that_answers_again_has_not_crashed() -> None:
+    """Guards against crashes counted for disconnections that outlast leases and entries."""
     core = core_with(step(1), executors=0)
     start_on(core, "e0", 1.0)
     record = core.executors["e0"].record
@@ -123,23 +134,23 @@
     assert core.executor_crashes == []
 
 
-def test_a_run_that_was_at_the_next_life_counts_there_alone() -> None:
-    """Guards against two crashes for a run whose start reached the second of two lives."""
+def test_a_run_that_reached_the_next_incarnation_counts_only_there() -> None:
+    """Guards against two crashes for a run whose start reached the second of two incarnations."""
     core = core_with(step(1), executors=0)
     start_on(core, "e0@1", 1.0, answered=False)
     core.on_silent("e0@1", 1.5)
-    empty(core, "e0@1", 2, asked=1.6, now=1.61)
+    report_nothing(core, "e0@1", 2, asked=1.6, now=1.61)
     (run,) = only_task(core).attempts
     row = RunningTask(run.task.name, run.run, "", 0, None)
     core.on_report("e0@2", ExecutorReport(1.8, (row,), (), started_at_ms=2), asked=1.7, now=1.8)
     core.on_silent("e0@2", 1.9)
-    empty(core, "e0@2", 3, asked=2.0, now=2.1)
-    known = only_task(core).crash_history
-    assert known and [crash.incarnation for crash in known.identified_crashes] == ["e0@2"]
+    report_nothing(core, "e0@2", 3, asked=2.0, now=2.1)
+    history = only_task(core).crash_history
+    assert history and [crash.incarnation for crash in history.identified_crashes] == ["e0@2"]
 
 
-def test_a_task_that_is_done_before_its_verdict_is_not_given_up() -> None:
-    """Guards against a verdict that beats an end: a run elsewhere had ended well meanwhile."""
+def test_a_task_that_is_done_before_the_delay_ends_is_not_given_up() -> None:
+    """Guards against giving up a task whose run elsewhere succeeds during the delay."""
     core = core_with(step(1), step(1), executors=0)
     add_executor(core, "e0")
     first, second = plan(core, 10.0)
@@ -148,7 +159,7 @@
     task = core.find_task(first.task)
     assert task
     core.set_crash_history(task, CrashHistory(1, 4))
-    fall(core, "e0", 10.1, 10.2)
+    crash_executor(core, "e0", 10.1, 10.2)
     assert task.crash_history and task.crash_history.should_give_up
     add_executor(core, "e2")
     done = EndedTask(1, task.name, 2, EndKind.DONE, "")
@@ -157,18 +168,18 @@
     assert core.finished == []
 
 
-def test_runs_whose_ends_are_read_after_the_fall_had_not_crashed_it() -> None:
+def test_runs_whose_ends_are_read_after_the_crash_did_not_cause_it() -> None:
     """Guards against crashes counted for runs that had ended.
 
-    The executor's last answer waits for the records of a job that it names. Meanwhile a start
-    finds another one at its address.
+    The executor's last report is handled late, as the records of a job in it are not read yet.
+    Meanwhile a start finds another incarnation at the executor's address.
     """
     core = core_with(step(2), executors=0)
     add_executor(core, "e0")
     first, second = plan(core, 10.0)
     for order in (first, second):
         started(core, order, 10.0)
-    fall(core, "e0", 10.8, 10.9)
+    crash_executor(core, "e0", 10.8, 10.9)
     ended = EndedTask(1, first.task, first.run, EndKind.DONE, "")
     core.on_report("e0", ExecutorReport(10.7, (), (ended,)), asked=10.6, now=11.0)
     tasks = core.jobs[JOB].runs[0].tasks()
