--- a/tests/shard/test_saved_work.py
+++ b/tests/shard/test_checkpoints.py
@@ -1,15 +1,15 @@
-"""Where a task resumes, by what its runs saved."""
+"""Tests from which checkpoint a task resumes."""
 
 from __future__ import annotations
 
 from linkspan.shard.messages import EndedTask, EndKind, ExecutorReport, RunningTask
 from tests.job_builders import step
 from tests.shard.builders import JOB, core_with, plan, report, started
-from tests.shard.test_failed_runs import cut_off_and_back
+from tests.shard.test_failed_runs import disconnect_and_reconnect
 
 
-def test_an_end_that_is_told_again_does_not_take_a_later_run_back() -> None:
-    """Guards against work done twice: a run resumed behind what a later one had saved."""
+def test_an_end_reported_again_keeps_the_later_checkpoint() -> None:
+    """Guards against repeated work: a run that resumes from an older checkpoint than the newest."""
     core = core_with(step(1, checkpoints=True))
     first = plan(core, 0.1)[0]
     started(core, first, 0.2)
@@ -23,6 +23,6 @@
         other = next(name for name in core.executors if name != first.executor_id)
         report(core, other, stopped, asked=1.1, now=1.2)
     else:
-        cut_off_and_back(core, first.executor_id)
+        disconnect_and_reconnect(core, first.executor_id)
         report(core, first.executor_id, stopped, asked=61.1, now=61.2)
     assert core.jobs[JOB].runs[0].steps[0].tasks[0].checkpoint == "one half"
--- a/tests/shard/test_lengths.py
+++ b/tests/shard/test_durations.py
@@ -1,4 +1,4 @@
-"""Lengths of steps: learnt beside callers' guesses, and what follows for jobs."""
+"""Tests expected durations of steps, learned from estimates and measurements, and their use."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 GUESSES = st.floats(0.0, 60.0) | st.floats(0.0, 1e300)
 
 
-def test_bad_guesses_are_pulled_to_what_was_seen() -> None:
+def test_inaccurate_estimates_are_corrected_towards_measured_durations() -> None:
     random = Random(1)
     durations = DurationEstimator()
     for _ in range(200):
-        length = exp(random.gauss(log(2.0), 0.5))
-        durations.learn("batch", length * exp(random.gauss(-0.4, 0.9)), length)
+        duration_s = exp(random.gauss(log(2.0), 0.5))
+        durations.learn("batch", duration_s * exp(random.gauss(-0.4, 0.9)), duration_s)
     assert 1.0 < durations.expected_s("batch", 0.2) < 2.0
     assert 2.0 < durations.expected_s("batch", 10.0) < 5.0
 
 
-def test_good_guesses_are_kept() -> None:
+def test_accurate_estimates_are_kept() -> None:
     random = Random(2)
     durations = DurationEstimator()
     for _ in range(200):
-        length = exp(random.gauss(0.0, 1.0))
-        durations.learn("batch", length, length * exp(random.gauss(0.0, 0.05)))
+        duration_s = exp(random.gauss(0.0, 1.0))
+        durations.learn("batch", duration_s, duration_s * exp(random.gauss(0.0, 0.05)))
     for guess_s in (0.2, 1.0, 5.0):
         assert abs(durations.expected_s("batch", guess_s) / guess_s - 1.0) < 0.1
 
@@ -56,26 +56,26 @@
     assert durations.expected_s("other", 3.0) == 3.0
 
 
-def test_chains_follow_the_lengths_given() -> None:
+def test_longest_paths_follow_the_durations() -> None:
     steps = (step(1), step(1), step(1, depends_on=(0, 1)))
     spec = JobSpec(JOB, QUEUE.name, "text", steps)
     assert spec.longest_paths_to([1.0, 4.0, 2.0]) == (1.0, 4.0, 6.0)
     assert spec.longest_paths_from([1.0, 4.0, 2.0]) == (3.0, 6.0, 2.0)
 
 
-def test_a_job_that_was_guessed_too_short_is_not_given_up() -> None:
-    """Jobs of the queue take five times their guess: this one still has its time."""
+def test_a_job_with_a_too_short_estimate_still_counts_as_in_time() -> None:
+    """Jobs of the queue take five times their estimate, so the objective is not missed yet."""
     core = core_with(step(1, estimate_s=1.0))
     waiting = core.jobs[JOB].runs[0].steps[0]
-    late = QUEUE.target_s + 0.5
-    assert urgency(waiting, late).timeliness is not Timeliness.IN_TIME
+    late_s = QUEUE.target_s + 0.5
+    assert urgency(waiting, late_s).timeliness is not Timeliness.IN_TIME
     for _ in range(50):
         core.durations.learn(QUEUE.name, 1.0, 5.0)
     update_expected_durations(core.jobs[JOB], core.durations)
-    assert urgency(waiting, late).timeliness is Timeliness.IN_TIME
+    assert urgency(waiting, late_s).timeliness is Timeliness.IN_TIME
 
 
-def test_ended_steps_teach_and_count_with_their_own_length() -> None:
+def test_ended_steps_are_learned_from_and_count_with_their_measured_duration() -> None:
     core = core_with(step(1, estimate_s=1.0), step(1, estimate_s=1.0, depends_on=(0,)))
     (order,) = plan(core, 0.1)
     started(core, order, 0.1)
@@ -88,7 +88,7 @@
     assert job.objective_s > QUEUE.stretch * 5.0
 
 
-def test_the_least_work_left_goes_first_and_what_was_begun_is_finished() -> None:
+def test_the_job_with_the_least_remaining_work_goes_first() -> None:
     core = core_with(step(4, cpu=2_000), executors=0)
     core.add_job(submitted(step(2, cpu=2_000), job_id=OTHER), 0.0)
     large, small = (core.jobs[name].runs[0] for name in (JOB, OTHER))
@@ -99,17 +99,17 @@
     assert urgency(large.steps[0], 0.1) < urgency(small.steps[0], 0.1)
 
 
-def test_jobs_without_hope_go_by_age() -> None:
-    """However much work a job has left, it is not overtaken for ever by smaller ones."""
+def test_jobs_that_cannot_be_in_time_are_ordered_by_age() -> None:
+    """Guards against a job with much remaining work that smaller jobs overtake forever."""
     core = core_with(step(9, cpu=8_000), executors=0)
     core.add_job(submitted(step(1), job_id=OTHER, accepted=5.0), 5.0)
-    old, young = (core.jobs[name].runs[0].steps[0] for name in (JOB, OTHER))
-    assert urgency(young, 60.0).timeliness is Timeliness.NONE
-    assert urgency(old, 60.0) < urgency(young, 60.0)
+    old, new = (core.jobs[name].runs[0].steps[0] for name in (JOB, OTHER))
+    assert urgency(new, 60.0).timeliness is Timeliness.NONE
+    assert urgency(old, 60.0) < urgency(new, 60.0)
 
 
-def test_a_run_that_was_slowed_teaches_its_length_at_full_speed() -> None:
-    """An objective counts work at full speed: our own pauses must not stretch it."""
+def test_the_duration_of_a_slowed_run_is_measured_at_full_speed() -> None:
+    """An objective counts work at full speed: pauses by the owner must not extend it."""
     core = core_with(step(1, estimate_s=1.0, best_effort=True, image="b"), executors=1)
     (order,) = plan(core, 0.1)
     started(core, order, 0.1)
@@ -117,7 +117,7 @@
     serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
     pacer = Pacer(core, core.interference)
     for tick in range(1, 19):
-        # It is over its target, so that the run beside it must stand still after 2.4 s.
+        # The task is over its latency target, so the neighbouring run is paused after 2.4 s.
         serving.usage = 100.0
         pacer.on_report(executor, 0.5 * tick, 0.5 * tick)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
@@ -125,25 +125,25 @@
     assert core.jobs[JOB].measured_durations_s[0] < 3.0
 
 
-def test_a_step_that_is_nearly_done_is_not_given_up() -> None:
-    """Half a second is left of its objective, and a tenth of a second of its work."""
+def test_a_nearly_finished_step_still_counts_as_in_time() -> None:
+    """Half a second of the objective remains, and a tenth of a second of the work."""
     core = core_with(step(1, estimate_s=2.0))
     (order,) = plan(core, 0.1)
     started(core, order, 0.2)
     running = core.jobs[JOB].runs[0].steps[0]
-    late = core.jobs[JOB].objective_s - 0.5
-    assert urgency(running, late).timeliness is not Timeliness.IN_TIME
+    late_s = core.jobs[JOB].objective_s - 0.5
+    assert urgency(running, late_s).timeliness is not Timeliness.IN_TIME
     running.tasks[0].attempts[0].progress = 95
-    assert urgency(running, late).timeliness is Timeliness.IN_TIME
+    assert urgency(running, late_s).timeliness is Timeliness.IN_TIME
 
 
-def test_what_is_nearly_done_goes_before_less_work_that_is_not_begun() -> None:
+def test_a_half_finished_step_goes_before_less_work_that_is_not_started() -> None:
     core = core_with(step(4, cpu=1_000, estimate_s=2.0))
     for order in plan(core, 0.1):
         started(core, order, 0.2)
     core.add_job(submitted(step(3, cpu=1_000, estimate_s=2.0), job_id=OTHER), 0.3)
-    begun, fresh = (core.jobs[job].runs[0].steps[0] for job in (JOB, OTHER))
-    assert urgency(begun, 0.5).rank > urgency(fresh, 0.5).rank
-    for task in begun.tasks:
+    started_step, unstarted_step = (core.jobs[job].runs[0].steps[0] for job in (JOB, OTHER))
+    assert urgency(started_step, 0.5).rank > urgency(unstarted_step, 0.5).rank
+    for task in started_step.tasks:
         task.attempts[0].progress = 50
-    assert urgency(begun, 0.5).rank < urgency(fresh, 0.5).rank
+    assert urgency(started_step, 0.5).rank < urgency(unstarted_step, 0.5).rank
--- a/tests/shard/test_failed_runs.py
+++ b/tests/shard/test_failed_runs.py
@@ -1,4 +1,4 @@
-"""Failed runs of a task: each counts once, however often and by whom its end is heard."""
+"""Tests that each failed run of a task counts once, however often and to whom it is reported."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.job_builders import QUEUE, step
 from tests.shard.builders import JOB, core_with, plan, report, started, submitted
 
-GONE_S = 60.0
-"""Steady time by which all leases have ended that were granted before."""
+LEASES_EXPIRED_AT_S = 60.0
+"""Steady time by which all leases that were granted before have expired."""
 
 
 def failed(order: StartOrder, number: int = 1) -> EndedTask:
@@ -29,77 +29,92 @@
     return order
 
 
-def cut_off_and_back(core: ShardCore, executor_id: str) -> None:
-    """Let an executor leave the books, and come back in the same life."""
+def disconnect_and_reconnect(core: ShardCore, executor_id: str) -> None:
+    """Remove an executor from the state and register the same incarnation again."""
     records = [e.record for e in core.executors.values()]
     core.list_executors([r for r in records if r.executor_id != executor_id], 2.0)
     core.on_silent(executor_id, 2.0)
-    core.on_silent(executor_id, GONE_S)
+    core.on_silent(executor_id, LEASES_EXPIRED_AT_S)
     assert executor_id not in core.executors
-    core.list_executors(records, GONE_S + 1.0)
+    core.list_executors(records, LEASES_EXPIRED_AT_S + 1.0)
     core.executors[executor_id].rostered = True
 
 
-def test_an_end_that_is_listed_again_by_an_executor_that_comes_back_counts_once() -> None:
-    """Guards against a job shown as failed for one failed run that was counted twice.
+def test_an_end_listed_again_by_a_reconnected_executor_counts_once() -> None:
+    """Guards against a job failed for one failed run that was counted twice.
 
-    The end had been counted, and was not durable yet, when the executor was cut off until its
-    leases and its entry had gone; it came back in the same life and listed the end again.
+    The end is counted but not durable yet when the executor is disconnected until its leases and
+    its entry expire. The same incarnation comes back and lists the end again.
     """
     core = core_with(step(1))
     order = first_start(core, 0.1)
     report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
-    cut_off_and_back(core, order.executor_id)
-    report(core, order.executor_id, failed(order), asked=GONE_S + 1.1, now=GONE_S + 1.2)
+    disconnect_and_reconnect(core, order.executor_id)
+    report(
+        core,
+        order.executor_id,
+        failed(order),
+        asked=LEASES_EXPIRED_AT_S + 1.1,
+        now=LEASES_EXPIRED_AT_S + 1.2,
+    )
     assert core.jobs[JOB].runs[0].steps[0].tasks[0].failures == 1
 
 
 def heir_of(core: ShardCore, record: bytes | None = None) -> ShardCore:
-    """Return the next owner, which reads what was recorded, or another record."""
-    heir = ShardCore(0, Bounds())
-    heir.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
-    heir.inherit([e.record for e in core.executors.values()], 20.0)
+    """Return the next owner, restored from the recorded progress or from another record."""
+    next_owner = ShardCore(0, Bounds())
+    next_owner.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
+    next_owner.inherit([e.record for e in core.executors.values()], 20.0)
     run = core.jobs[JOB].runs[0]
     specs = [s.spec for s in run.steps]
-    heir.add_job(submitted(*specs), 1.0, inherited=True, progress={0: record or encode_run(run)})
-    return heir
+    next_owner.add_job(
+        submitted(*specs), 1.0, inherited=True, progress={0: record or encode_run(run)}
+    )
+    return next_owner
 
 
 def test_a_failed_run_of_a_gang_counts_once_over_a_change_of_owners() -> None:
-    """Guards against a gang's job shown as failed for one failed run, counted once a member.
+    """Guards against a gang's job failed for one failed run that is counted for each member.
 
-    The failed run of one member was on record, and the next owner heard of another member's.
+    The failed run of one member is on record, and another member's end is reported to the next
+    owner.
     """
     core = core_with(step(2, gang=True))
     first, second = plan(core, 0.1)
     for order in (first, second):
         started(core, order, 0.2)
     report(core, first.executor_id, failed(first), asked=0.3, now=0.5)
-    heir = heir_of(core)
+    next_owner = heir_of(core)
     ended = failed(second, 2 if second.executor_id == first.executor_id else 1)
-    report(heir, second.executor_id, ended, asked=1.1, now=1.2)
-    assert heir.jobs[JOB].runs[0].steps[0].failures == 1
+    report(next_owner, second.executor_id, ended, asked=1.1, now=1.2)
+    assert next_owner.jobs[JOB].runs[0].steps[0].failures == 1
 
 
-def test_a_failure_that_no_former_owner_counted_is_counted() -> None:
-    """Guards against a start beyond the limit, for a failed run that nobody counted.
+def test_a_failure_that_no_previous_owner_counted_is_counted() -> None:
+    """Guards against a start beyond the limit, for a failed run that no owner counted.
 
-    The attempt was on record, and had been given up as lapsed, when its end was listed.
+    The attempt is on record, and its lease has expired when its end is listed.
     """
     core = core_with(step(1))
     order = first_start(core, 0.1)
     records = [e.record for e in core.executors.values()]
     core.list_executors([r for r in records if r.executor_id != order.executor_id], 2.0)
     core.on_silent(order.executor_id, 2.0)
-    core.on_silent(order.executor_id, GONE_S)
-    heir = heir_of(core)
-    heir.list_executors(records, GONE_S)
-    report(heir, order.executor_id, failed(order), asked=GONE_S + 1.1, now=GONE_S + 1.2)
-    assert heir.jobs[JOB].runs[0].steps[0].tasks[0].failures == 1
-
-
-def test_two_failed_runs_of_one_number_on_two_executors_count_as_two() -> None:
-    """Two owners that do not know of each other may give one number twice."""
+    core.on_silent(order.executor_id, LEASES_EXPIRED_AT_S)
+    next_owner = heir_of(core)
+    next_owner.list_executors(records, LEASES_EXPIRED_AT_S)
+    report(
+        next_owner,
+        order.executor_id,
+        failed(order),
+        asked=LEASES_EXPIRED_AT_S + 1.1,
+        now=LEASES_EXPIRED_AT_S + 1.2,
+    )
+    assert next_owner.jobs[JOB].runs[0].steps[0].tasks[0].failures == 1
+
+
+def test_two_failed_runs_with_the_same_number_on_two_executors_count_as_two() -> None:
+    """Two owners that do not know of each other may assign the same run number."""
     core = core_with(step(1))
     order = first_start(core, 0.1)
     other = next(name for name in core.executors if name != order.executor_id)
@@ -108,30 +123,30 @@
     assert core.jobs[JOB].runs[0].steps[0].tasks[0].failures == 2
 
 
-def test_a_record_of_an_earlier_version_counts_what_it_does_not_name() -> None:
-    """Its row ends before the names, and a run below its next one is among what it counts."""
+def test_an_earlier_versions_record_counts_failed_runs_that_it_does_not_identify() -> None:
+    """Its row ends before the identified runs; a run below the next number is among its count."""
     core = core_with(step(1))
     order = first_start(core, 0.1)
     report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
     run = core.jobs[JOB].runs[0]
     rows = orjson.loads(encode_run(run))
     rows[0][0] = rows[0][0][:5]
-    heir = heir_of(core, orjson.dumps(rows))
-    task = heir.jobs[JOB].runs[0].steps[0].tasks[0]
+    next_owner = heir_of(core, orjson.dumps(rows))
+    task = next_owner.jobs[JOB].runs[0].steps[0].tasks[0]
     assert task.failures == 1
-    report(heir, order.executor_id, failed(order), asked=1.1, now=1.2)
+    report(next_owner, order.executor_id, failed(order), asked=1.1, now=1.2)
     assert task.failures == 1
     again = EndedTask(2, order.task, order.run + 20, EndKind.FAILED, "")
-    report(heir, order.executor_id, again, asked=1.3, now=1.4)
+    report(next_owner, order.executor_id, again, asked=1.3, now=1.4)
     assert task.failures == 2
 
 
-def test_an_earlier_version_reads_the_count_where_it_always_stood() -> None:
+def test_an_earlier_version_reads_the_count_at_its_known_position() -> None:
     core = core_with(step(1))
     order = first_start(core, 0.1)
     report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
     ((row,),) = orjson.loads(encode_run(core.jobs[JOB].runs[0]))
-    next_run, failures, _checkpoint, _attempts, _loan, *_more = row
+    next_run, failures, _checkpoint, _attempts, _delegation, *_more = row
     assert (next_run, failures) == (2, 1)
 
 
--- a/tests/shard/test_gangs_not_begun.py
+++ b/tests/shard/test_gang_handover.py
@@ -1,4 +1,4 @@
-"""A job whose gang found no room whole has not begun."""
+"""Tests that a job whose gang cannot be placed whole has not begun."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 FULL = HallSummary(capacity=16_000, free_by_executor=((0, 0), (0, 0)))
 
 
-def test_a_gang_that_found_room_for_a_part_moves_whole() -> None:
-    """It was told as begun, was no longer counted as waiting, and waited at home for ever."""
+def test_a_gang_with_capacity_for_only_a_part_moves_whole() -> None:
+    """Guards against a job marked as begun, no longer counted as waiting, and never moved."""
     core = core_with(step(3, gang=True, cpu=8_000))
     assert plan(core, 0.1) == []
     assert core.begun == []
--- a/tests/shard/test_largest_job.py
+++ b/tests/shard/test_largest_job.py
@@ -1,4 +1,4 @@
-"""The largest job that is taken fits into the memory that an owner may use for it."""
+"""Tests that the largest accepted job fits into the memory that an owner may use for it."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tests.shard.builders import JOB
 
 OWNER_BYTES = 40_000_000
-"""What a host has at least, by the origin of the bound on repeated tasks."""
+"""Minimum memory of a host, from which the limit on repeated tasks is derived."""
 
 
 def test_the_largest_job_with_repetitions_fits_into_an_owner() -> None:
-    """An owner holds each repetition from the start; the bound rests on 300 bytes a task."""
+    """An owner holds all repetitions from the start; the limit assumes 300 bytes per task."""
     spec = JobSpec(JOB, QUEUE.name, "text", (step(1),), Schedule(MAX_REPEATED_TASKS, 0.0, 1.0))
     check_job(spec)
     tracemalloc.start()
--- a/tests/shard/test_leases.py
+++ b/tests/shard/test_leases.py
@@ -1,4 +1,4 @@
-"""A lapse is never declared while an executor's lease may run."""
+"""Tests that a lease is never declared expired while it may still be valid at its executor."""
 
 from __future__ import annotations
 
@@ -41,5 +41,5 @@
     assert lease.granted_s >= before
 
 
-def test_an_inherited_lease_is_waited_out_with_its_owner() -> None:
+def test_an_inherited_lease_expires_after_its_owner_can_no_longer_renew_it() -> None:
     assert inherited_lease_expiry(100.0, 10.0, 9.8) >= 100.0 + 10.0 + 9.8 / 0.98
