--- a/tests/shard/test_presence.py
+++ b/tests/shard/test_draining_executors.py
@@ -1,4 +1,4 @@
-"""What a shard makes of executors that leave."""
+"""Tests how a shard handles executors that drain."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.shard.builders import core_with
 
 
-def test_an_executor_that_drains_already_leaves_when_it_says() -> None:
-    """A new owner finds it so, in the store or in the roster of its predecessor."""
+def test_an_already_draining_executor_leaves_at_its_announced_time() -> None:
+    """A new owner finds it draining in the store or in the roster of the previous owner."""
     core = core_with(step(1))
     first = core.executors["e0"].record
     drains = replace(first, executor_id="e8", address="e8:1", draining=True, remaining_s=2.0)
--- a/tests/shard/test_lives.py
+++ b/tests/shard/test_incarnations.py
@@ -1,4 +1,8 @@
-"""What an owner makes of executors that start again under their id."""
+"""Tests how an owner handles executors that restart under the same id.
+
+Each start of an executor is an incarnation. Runs, unanswered starts, leases and ends of one
+incarnation must not be mistaken for those of the next one.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +43,7 @@
 FIRST, SECOND, THIRD = (
     Incarnation("e0", started_at_ms).name for started_at_ms in (1_000, 900, 2_000)
 )
-"""Births do not order lives: the time of day stepped back before the second."""
+"""Start times do not order incarnations: the wall clock was set back before the second."""
 
 TASK = TaskName(JOB, 0, 0, 0)
 
@@ -64,25 +68,26 @@
     clock_s: float = 0.1,
     running: tuple[RunningTask, ...] = (),
     ended: tuple[EndedTask, ...] = (),
-    whole: bool = True,
+    complete: bool = True,
 ) -> None:
     report = ExecutorReport(
-        clock_s, running, ended, whole, Incarnation.of(incarnation).started_at_ms
+        clock_s, running, ended, complete, Incarnation.of(incarnation).started_at_ms
     )
     core.on_report(asked_name, report, asked=asked, now=now)
 
 
-def _lists(task: TaskName = TASK) -> tuple[RunningTask, ...]:
+def _running_rows(task: TaskName = TASK) -> tuple[RunningTask, ...]:
+    """Return the rows of a report that lists a task as running."""
     return (RunningTask(task, 1, "", 10, None),)
 
 
-def _restarted(core: ShardCore, **fields: Any) -> None:
-    """Have the second life answer a question to the first one."""
+def _report_next_incarnation(core: ShardCore, **fields: Any) -> None:
+    """Have the second incarnation answer a poll of the first one."""
     _report(core, FIRST, SECOND, asked=2.0, now=2.01, **fields)
 
 
 def _replan(core: ShardCore, now: float) -> list[StartOrder]:
-    """Plan once the crash is on record, without which its tasks are not started."""
+    """Plan once the crash is on record, before which its tasks are not started."""
     for run in core.jobs[JOB].runs.values():
         run.durable = run.version
     return plan(core, now)
@@ -92,38 +97,38 @@
     return [order for order in core.orders if isinstance(order, StopOrder)]
 
 
-def test_what_the_first_list_names_goes_on_there() -> None:
-    """A start that was answered came to a life that nobody had met."""
+def test_a_run_in_the_first_report_of_the_next_incarnation_continues_there() -> None:
+    """A confirmed start reached an incarnation that the owner did not know yet."""
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 1.01)
-    _restarted(core, running=_lists())
+    _report_next_incarnation(core, running=_running_rows())
     assert _replan(core, 2.1) == []
     assert list(core.executors) == [SECOND]
     assert [a.phase for a in core.executors[SECOND].attempts.values()] == [Phase.RUNNING]
 
 
-def test_an_end_that_the_first_list_names_counts() -> None:
+def test_an_end_in_the_first_report_of_the_next_incarnation_counts() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 1.01)
     core.executors[FIRST].last_handled_end = 57
-    _restarted(core, ended=(EndedTask(1, TASK, 1, EndKind.DONE, ""),))
+    _report_next_incarnation(core, ended=(EndedTask(1, TASK, 1, EndKind.DONE, ""),))
     assert [f.job_id for f in core.finished] == [JOB]
 
 
-def test_what_fell_with_the_life_before_starts_again_at_once() -> None:
+def test_a_run_that_ended_with_the_previous_incarnation_starts_again_at_once() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 1.01)
-    _restarted(core)
+    _report_next_incarnation(core)
     core.list_executors([core.executors[SECOND].record], 2.02)
     core.executors[SECOND].rostered = True
     (again,) = _replan(core, 2.1)
     assert (again.executor_id, again.run) == (SECOND, 2)
 
 
-def test_a_start_without_an_answer_goes_on_at_the_next_life_and_nowhere_else() -> None:
+def test_an_unanswered_start_is_carried_over_to_the_next_incarnation_only() -> None:
     core = _core()
     add_executor(core, "e1@5")
     (order,) = plan(core, 1.0)
@@ -133,64 +138,64 @@
     report = ExecutorReport(0.1, (), (), started_at_ms=7)
     core.on_report(incarnation, report, asked=2.0, now=2.01)
     successor = Incarnation(Incarnation.of(incarnation).executor_id, 7).name
-    assert core.orders == [], "the next life is not on record yet"
+    assert core.orders == [], "the next incarnation is not on record yet"
     core.executors[successor].rostered = True
     core.on_report(successor, replace(report, clock_s=0.2), asked=2.05, now=2.06)
     assert core.orders == [replace(order, executor_id=successor)]
     core.orders.clear()
-    assert _replan(core, 2.1) == [], "the order may still be on its way"
+    assert _replan(core, 2.1) == [], "the order may still arrive"
     core.on_start_unanswered(replace(order, executor_id=successor), 2.2)
     core.on_report(successor, replace(report, clock_s=0.4), asked=2.3, now=2.31)
     assert core.orders == [replace(order, executor_id=successor)]
     assert _replan(core, 2.4) == [replace(order, executor_id=successor)]
 
 
-def test_a_stop_that_the_life_before_took_stops_nothing_at_the_next() -> None:
+def test_a_stop_taken_by_the_previous_incarnation_stops_nothing_at_the_next() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 1.5)
     (attempt,) = core.executors[FIRST].attempts.values()
     core.order_stop(attempt, 1.6)
     (stop,) = _stops(core)
-    _restarted(core)
+    _report_next_incarnation(core)
     core.on_stopped(stop, True, 2.1)
     _report(core, SECOND, SECOND, asked=2.2, now=2.21, clock_s=0.3)
     assert attempt.stop_taken_at is None
     assert _replan(core, 2.4) == []
 
 
-def test_a_start_that_is_answered_after_the_question_is_not_missed_yet() -> None:
-    """The list may have been made just before the order came."""
+def test_a_start_answered_after_the_poll_was_sent_is_not_missing_yet() -> None:
+    """The report may have been made just before the order arrived."""
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 2.005)
-    _restarted(core)
+    _report_next_incarnation(core)
     (attempt,) = core.executors[SECOND].attempts.values()
     assert attempt.phase is Phase.RUNNING
     assert _replan(core, 2.1) == []
 
 
-def test_an_answer_on_its_way_reaches_the_run_where_it_counts_now() -> None:
+def test_a_late_answer_confirms_the_run_at_the_next_incarnation() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    _restarted(core)
+    _report_next_incarnation(core)
     started(core, order, 2.02)
     (attempt,) = core.executors[SECOND].attempts.values()
     assert attempt.phase is Phase.RUNNING
 
 
-def test_an_answer_that_was_overtaken_does_not_bring_the_life_before_back() -> None:
+def test_an_overtaken_report_does_not_restore_the_previous_incarnation() -> None:
     lines: list[Event] = []
     core = _core(log=lambda event, **_fields: lines.append(event))
-    _restarted(core)
-    _report(core, FIRST, FIRST, asked=1.9, now=2.1, clock_s=50.0, running=_lists())
+    _report_next_incarnation(core)
+    _report(core, FIRST, FIRST, asked=1.9, now=2.1, clock_s=50.0, running=_running_rows())
     assert list(core.executors) == [SECOND]
     assert not core.executors[SECOND].attempts
     assert Event.REPORT_PASSED_OVER in lines
 
 
-def test_in_doubt_it_is_asked_again() -> None:
-    """The next life's answer came back before that of the life before was read."""
+def test_an_ambiguous_report_is_followed_by_another_poll() -> None:
+    """The next incarnation's report arrives after that of the previous one, polled earlier."""
     core = _core()
     _report(core, FIRST, FIRST, asked=1.9, now=2.1, clock_s=50.0)
     _report(core, FIRST, SECOND, asked=2.0, now=2.2)
@@ -199,17 +204,17 @@
     assert list(core.executors) == [SECOND]
 
 
-def test_an_entry_that_comes_late_does_not_bring_the_life_before_back() -> None:
+def test_a_late_entry_does_not_restore_the_previous_incarnation() -> None:
     core = _core()
     first = core.executors[FIRST].record
-    _restarted(core)
+    _report_next_incarnation(core)
     core.list_executors([first], 2.5)
     assert list(core.executors) == [SECOND]
     core.list_executors([replace(first, executor_id=SECOND)], 2.6)
     assert core.executors[SECOND].listed
 
 
-def test_an_entry_names_a_next_life_that_is_used_once_it_has_answered() -> None:
+def test_a_next_incarnation_found_in_an_entry_takes_work_once_it_has_answered() -> None:
     core = _core()
     first = core.executors[FIRST].record
     core.list_executors([replace(first, executor_id=SECOND)], 2.0)
@@ -221,9 +226,9 @@
     assert core.takes_work(core.executors[SECOND], 2.2)
 
 
-def test_ends_of_each_life_count_from_one() -> None:
+def test_ends_of_each_incarnation_are_numbered_from_one() -> None:
     core = _core(step(3))
-    _restarted(core)
+    _report_next_incarnation(core)
     name = TaskName(JOB, 0, 0, 1)
     end = EndedTask(1, name, 4, EndKind.DONE, "")
     _report(core, SECOND, SECOND, asked=2.1, now=2.2, clock_s=0.3, ended=(end,))
@@ -232,24 +237,27 @@
     assert core.executors[SECOND].last_handled_end == 1
 
 
-def test_nothing_is_known_of_a_life_by_the_one_before() -> None:
+def test_an_incarnation_inherits_no_state_from_the_previous_one() -> None:
     core = _core()
-    former = core.executors[FIRST]
-    former.acknowledged = former.last_handled_end = 57
-    former.quarantined_until = 1e9
+    previous = core.executors[FIRST]
+    previous.acknowledged = previous.last_handled_end = 57
+    previous.quarantined_until = 1e9
     core.health.record_failure(FIRST, "a", 1.0)
     core.health.record_failure(FIRST, "b", 1.0)
-    _restarted(core, clock_s=0.1)
-    known = core.executors[SECOND]
-    assert (known.acknowledged, known.last_handled_end) == (0, 0)
-    assert known.quarantined_until < 0
-    assert known.clock and known.clock.granted_s == pytest.approx(0.1 + LONG_LEASE_S)
+    _report_next_incarnation(core, clock_s=0.1)
+    next_executor = core.executors[SECOND]
+    assert (next_executor.acknowledged, next_executor.last_handled_end) == (0, 0)
+    assert next_executor.quarantined_until < 0
+    assert next_executor.clock and next_executor.clock.granted_s == pytest.approx(
+        0.1 + LONG_LEASE_S
+    )
 
 
-# Ends are told to be forgotten by a life that was just heard
+# Ends are acknowledged to an incarnation that has just answered
 
 
-def _heard(executor: ExecutorState, at: float) -> None:
+def _set_answered(executor: ExecutorState, at: float) -> None:
+    """Set the time of an executor's last answer, with ends to acknowledge."""
     executor.acknowledged = 5
     executor.answered_at = at
 
@@ -257,43 +265,42 @@
 @pytest.mark.parametrize(
     ("later_s", "number"), [(MAX_ACKNOWLEDGE_DELAY_S, 5), (0.201, 0), (9.0, 0)]
 )
-def test_ends_are_told_to_be_forgotten_shortly_after_an_answer_only(
-    later_s: float, number: int
-) -> None:
-    """The window that is left: a next life that ends a run of ours within it loses that end."""
+def test_ends_are_acknowledged_only_shortly_after_an_answer(later_s: float, number: int) -> None:
+    """In the remaining window, an end of a run at a next incarnation can still be lost."""
     executor = _core().executors[FIRST]
-    _heard(executor, 0.0)
+    _set_answered(executor, 0.0)
     assert acknowledgeable_end(executor, later_s) == number
 
 
-def test_a_silent_executor_is_asked_first_who_it_is() -> None:
+def test_ends_of_a_silent_executor_are_not_acknowledged_before_it_answers() -> None:
     core = _core()
     executor = core.executors[FIRST]
-    _heard(executor, 1.0)
+    _set_answered(executor, 1.0)
     core.on_silent(FIRST, 1.05)
     assert acknowledgeable_end(executor, 1.1) == 0
 
 
-def test_ends_that_were_forgotten_are_not_told_again() -> None:
+def test_delivered_acknowledgements_are_not_repeated() -> None:
     executor = _core().executors[FIRST]
-    _heard(executor, 1.0)
+    _set_answered(executor, 1.0)
     executor.ack_delivered = 5
     assert acknowledgeable_end(executor, 1.1) == 0
 
 
-# Lives that a machine list proves over
+# Incarnations that have ended by a machine list
 
 
-def _gone(core: ShardCore, *, since: float, now: float) -> None:
+def _end_incarnation(core: ShardCore, *, since: float, now: float) -> None:
+    """End the first incarnation, as the machine service no longer lists its machine."""
     core.on_incarnation_ended(FIRST, now, "machine service no longer lists it", since=since)
 
 
-def test_a_start_on_its_way_waits_for_the_next_life() -> None:
+def test_an_unanswered_start_waits_for_the_next_incarnation() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 1.5)
     add_executor(core, "e1@5")
-    _gone(core, since=2.0, now=2.5)
+    _end_incarnation(core, since=2.0, now=2.5)
     assert _replan(core, 2.6) == []
     core.orders.clear()
     _report(core, "e0", SECOND, asked=3.0, now=3.01)
@@ -301,15 +308,16 @@
     _report(core, SECOND, SECOND, asked=3.05, now=3.06, clock_s=0.2)
     assert core.orders == [replace(order, executor_id=SECOND)]
     started(core, replace(order, executor_id=SECOND), 3.1)
-    _report(core, SECOND, SECOND, asked=3.2, now=3.21, clock_s=0.3, running=_lists())
+    _report(core, SECOND, SECOND, asked=3.2, now=3.21, clock_s=0.3, running=_running_rows())
     core.orders.clear()
     assert _replan(core, 3.3) == []
 
 
-def test_a_run_that_a_second_order_may_begin_goes_on_at_the_next_life() -> None:
-    """Guards against a start on its way that meets a run of its task elsewhere.
+def test_a_run_that_another_order_may_start_is_carried_over_to_the_next_incarnation() -> None:
+    """Guards against a late start that arrives while the task runs elsewhere.
 
-    It was sent again and answered, so its life lists it; the first order is still on its way.
+    The start was sent again and answered, so the incarnation lists the run; the first order may
+    still arrive.
     """
     core = _core()
     (order,) = plan(core, 1.0)
@@ -317,7 +325,7 @@
     _report(core, FIRST, FIRST, asked=1.6, now=1.61, clock_s=1.0)
     core.orders.clear()
     started(core, order, 1.7)
-    _report(core, FIRST, FIRST, asked=1.8, now=1.81, clock_s=1.2, running=_lists())
+    _report(core, FIRST, FIRST, asked=1.8, now=1.81, clock_s=1.2, running=_running_rows())
     add_executor(core, "e1@5")
     _report(core, FIRST, SECOND, asked=6.0, now=6.01)
     core.executors[SECOND].rostered = True
@@ -325,41 +333,41 @@
     assert _replan(core, 6.1) == [replace(order, executor_id=SECOND)]
 
 
-def test_a_next_life_that_never_answers_is_waited_out() -> None:
+def test_an_unanswered_start_waits_until_a_silent_next_incarnation_has_no_lease() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 1.5)
     add_executor(core, "e1@5")
-    _gone(core, since=2.0, now=2.5)
-    over = max(next_incarnation_lease_expiry(2.5, LONG_LEASE_S), 1.5 + MAX_START_DELAY_S)
-    core.on_silent("e0", over - 0.01)
-    assert _replan(core, over - 0.01) == []
-    core.on_silent("e0", over)
-    assert len(_replan(core, over)) == 1
+    _end_incarnation(core, since=2.0, now=2.5)
+    expired_at = max(next_incarnation_lease_expiry(2.5, LONG_LEASE_S), 1.5 + MAX_START_DELAY_S)
+    core.on_silent("e0", expired_at - 0.01)
+    assert _replan(core, expired_at - 0.01) == []
+    core.on_silent("e0", expired_at)
+    assert len(_replan(core, expired_at)) == 1
     assert "e0" not in core.executors
 
 
-def test_what_was_answered_before_the_list_is_over_with_its_life() -> None:
+def test_a_run_confirmed_before_the_machine_list_ended_with_its_incarnation() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 1.01)
     add_executor(core, "e1@5")
-    _gone(core, since=2.0, now=2.5)
+    _end_incarnation(core, since=2.0, now=2.5)
     assert len(_replan(core, 2.6)) == 1
 
 
-def test_what_was_answered_while_lists_were_made_may_be_at_the_next_life() -> None:
+def test_a_run_confirmed_after_the_machine_list_may_be_at_the_next_incarnation() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 2.1)
     add_executor(core, "e1@5")
-    _gone(core, since=2.0, now=2.5)
+    _end_incarnation(core, since=2.0, now=2.5)
     assert _replan(core, 2.6) == []
-    _report(core, "e0", SECOND, asked=3.0, now=3.01, running=_lists())
+    _report(core, "e0", SECOND, asked=3.0, now=3.01, running=_running_rows())
     assert _replan(core, 3.1) == []
 
 
-def test_another_id_at_its_address_takes_no_order_of_it() -> None:
+def test_an_executor_with_another_id_at_the_address_takes_none_of_its_orders() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 1.5)
@@ -368,22 +376,22 @@
     assert len(_replan(core, 2.6)) == 1
 
 
-def test_a_machine_names_no_life() -> None:
-    """An executor that started again under its id is listed; one that is away twice is not."""
+def test_a_machine_list_does_not_distinguish_incarnations() -> None:
+    """A restarted executor is listed under its id; one that is absent from two lists has ended."""
     watch = MachineWatch()
-    there = (MachineRecord("m", "pool", MachineState.UP, "e0"),)
-    away = (MachineRecord("m", "pool", MachineState.DOWN),)
-    assert watch.find_ended(there, {FIRST, SECOND}, asked=1.0) == {}
-    assert watch.find_ended(away, {FIRST}, asked=2.0) == {}
-    assert watch.find_ended(away, {FIRST, SECOND}, asked=3.0) == {FIRST: 2.0}
+    listed_machines = (MachineRecord("m", "pool", MachineState.UP, "e0"),)
+    missing_machines = (MachineRecord("m", "pool", MachineState.DOWN),)
+    assert watch.find_ended(listed_machines, {FIRST, SECOND}, asked=1.0) == {}
+    assert watch.find_ended(missing_machines, {FIRST}, asked=2.0) == {}
+    assert watch.find_ended(missing_machines, {FIRST, SECOND}, asked=3.0) == {FIRST: 2.0}
 
 
-def test_a_clock_that_goes_back_within_a_life_is_a_silence() -> None:
-    """Its reports were dropped without a word, and what ran there was believed to run on."""
+def test_a_clock_that_goes_back_within_an_incarnation_counts_as_silence() -> None:
+    """Guards against reports dropped silently while their runs are believed to continue."""
     core = _core()
     (order,) = plan(core, 1.0)
     started(core, order, 1.01)
-    _report(core, FIRST, FIRST, asked=1.1, now=1.2, clock_s=100.0, running=_lists())
+    _report(core, FIRST, FIRST, asked=1.1, now=1.2, clock_s=100.0, running=_running_rows())
     _report(core, FIRST, FIRST, asked=1.3, now=1.4, clock_s=1.0)
     assert core.executors[FIRST].silent_since == 1.4
     core.on_silent(FIRST, 40.0)
@@ -393,7 +401,7 @@
 # Records
 
 
-def test_a_roster_and_progress_hold_births_where_earlier_versions_do_not_look() -> None:
+def test_roster_and_progress_hold_start_times_where_earlier_versions_do_not_look() -> None:
     core = _core()
     plan(core, 1.0)
     roster = encode_roster([e.record for e in core.executors.values()])
@@ -401,43 +409,47 @@
     assert (row[0], row[-1]) == ("e0", 1_000)
     assert [r.executor_id for r in decode_roster(roster)] == [FIRST]
     run = core.jobs[JOB].runs[0]
-    # A start that had no answer yet is told behind the birth.
+    # The number of unanswered starts stands behind the start time.
     assert _decoded(encode_run(run))[0][0][3] == [[1, "e0", 1_000, 1]]
 
 
-def test_records_of_an_earlier_version_name_some_life_of_the_id() -> None:
-    heir = core_with(step(1), executors=0)
+def test_records_of_an_earlier_version_name_an_unspecified_incarnation() -> None:
+    next_owner = core_with(step(1), executors=0)
     (row,) = _decoded(encode_roster([_core().executors[FIRST].record]))
-    heir.inherit(decode_roster(_encoded([row[:7]])), until=20.0)
-    assert list(heir.executors) == ["e0"]
-    run = new_run(heir.jobs[JOB], 0)
+    next_owner.inherit(decode_roster(_encoded([row[:7]])), until=20.0)
+    assert list(next_owner.executors) == ["e0"]
+    run = new_run(next_owner.jobs[JOB], 0)
     restore_run(run, _encoded([[[2, 0, "", [[1, "e0"]], 0]]]), 1.0)
     (attempt,) = run.steps[0].tasks[0].attempts
     assert attempt.executor_id == "e0"
-    _report(heir, "e0", SECOND, asked=2.0, now=2.1)
-    assert list(heir.executors) == [SECOND]
+    _report(next_owner, "e0", SECOND, asked=2.0, now=2.1)
+    assert list(next_owner.executors) == [SECOND]
 
 
 @pytest.mark.parametrize("listed", [True, False])
 @pytest.mark.parametrize("old", ["roster", "progress", "neither"])
-def test_runs_on_record_are_found_whichever_version_wrote_which(old: str, listed: bool) -> None:
-    heir = core_with(executors=0)
+def test_recorded_runs_are_found_whichever_version_wrote_each_record(
+    old: str, listed: bool
+) -> None:
+    next_owner = core_with(executors=0)
     record = _core().executors[FIRST].record
     (row,) = _decoded(encode_roster([record]))
-    heir.inherit(decode_roster(_encoded([row[:7] if old == "roster" else row])), until=20.0)
+    next_owner.inherit(decode_roster(_encoded([row[:7] if old == "roster" else row])), until=20.0)
     incarnation = ["e0"] if old == "progress" else ["e0", 1_000]
     progress = {0: _encoded([[[2, 0, "", [[1, *incarnation]], 0]]])}
     job = submitted(step(1), job_id=OTHER_JOB)
-    heir.add_job(job, 1.0, inherited=True, begun=True, progress=progress)
-    (task,) = heir.jobs[OTHER_JOB].runs[0].tasks()
+    next_owner.add_job(job, 1.0, inherited=True, begun=True, progress=progress)
+    (task,) = next_owner.jobs[OTHER_JOB].runs[0].tasks()
     assert len(task.attempts) == 1
-    running = _lists(task.name) if listed else ()
-    _report(heir, next(iter(heir.executors)), SECOND, asked=2.0, now=2.1, running=running)
+    running = _running_rows(task.name) if listed else ()
+    _report(
+        next_owner, next(iter(next_owner.executors)), SECOND, asked=2.0, now=2.1, running=running
+    )
     assert [a.executor_id for a in task.attempts] == ([SECOND] if listed else [])
 
 
 @pytest.mark.parametrize("started_at_ms", ["1000", 1.5, -1, True, [1]])
-def test_an_odd_birth_on_a_roster_is_as_other_odd_fields(started_at_ms: object) -> None:
+def test_an_invalid_start_time_on_a_roster_is_rejected(started_at_ms: object) -> None:
     (row,) = _decoded(encode_roster([_core().executors[FIRST].record]))
     with pytest.raises(Exception, match="roster"):
         decode_roster(_encoded([[*row[:7], started_at_ms]]))
@@ -451,25 +463,26 @@
     return orjson.dumps(value)
 
 
-def test_a_life_that_nobody_met_counts_as_no_crash_with_a_next_owner_either() -> None:
-    """A start without an answer counted twice: with its life, and with the one that was awaited.
+def test_an_incarnation_that_never_answered_counts_no_crash_with_a_next_owner() -> None:
+    """Guards against an unanswered start that counts as two crashes.
 
-    A job was given up for four crashes of which one was one (drawn day 428).
+    It counted at the end of its incarnation and at the end of the expected next one. A job was
+    given up for four crashes of which one was real (drawn day 428).
     """
     core = _core()
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, 1.5)
-    _gone(core, since=2.0, now=2.5)
+    _end_incarnation(core, since=2.0, now=2.5)
     roster = encode_roster([e.record for e in core.executors.values()])
     progress = {0: encode_run(core.jobs[JOB].runs[0])}
-    heir = core_with(executors=0)
-    heir.jobs.clear()
-    heir.inherit(decode_roster(roster), until=20.0)
-    heir.add_job(submitted(step(1)), 3.0, inherited=True, begun=True, progress=progress)
-    (task,) = heir.jobs[JOB].runs[0].tasks()
+    next_owner = core_with(executors=0)
+    next_owner.jobs.clear()
+    next_owner.inherit(decode_roster(roster), until=20.0)
+    next_owner.add_job(submitted(step(1)), 3.0, inherited=True, begun=True, progress=progress)
+    (task,) = next_owner.jobs[JOB].runs[0].tasks()
     assert len(task.attempts) == 1
-    heir.on_incarnation_ended("e0", 3.5, "machine service no longer lists it", since=3.2)
-    assert len(task.attempts) == 1, "the start may still be on its way"
-    heir.on_incarnation_ended("e0", 4.0, "another incarnation answers")
+    next_owner.on_incarnation_ended("e0", 3.5, "machine service no longer lists it", since=3.2)
+    assert len(task.attempts) == 1, "the start may still arrive"
+    next_owner.on_incarnation_ended("e0", 4.0, "another incarnation answers")
     assert not task.attempts
     assert task.crash_history and task.crash_history.crash_count == 1
--- a/tests/shard/test_orders_not_sent_yet.py
+++ b/tests/shard/test_orders_not_sent_yet.py
@@ -1,17 +1,13 @@
-"""A start whose attempt was given up before it went out goes out no more.
+"""Tests that a start is not sent if its attempt was given up after it was planned.
 
-What was suspected: a task ran on two executors at once, under one owner.
+Guards against a task that runs on two executors at once under one owner. The owner's process
+freezes for about the duration of a lease. It then plans, still considers an executor alive, and
+queues the order for the next turn of its event loop. Before that turn the open poll times out, and
+as the lease has expired by now, the executor's attempts are given up. If the order is sent all the
+same, the task also starts elsewhere.
 
-How it comes about: the owner's process stands still for about as long as a lease, and goes on.
-It plans first, with an executor that it still takes for answering, and the order is to go out
-with the next turn of its loop. Before that, the look that was open there runs out of time, and
-as the lease there is over by now the executor counts as lapsed, with all that was placed there.
-The order was sent all the same, and its task was started elsewhere as well.
-
-In the same way an order goes out although the process stood still between the plan and the
-sending: whether another owner may be at work was asked before, and the lease is reckoned after.
-
-What proves it: the tests below, on a dispatcher whose loop is turned by hand.
+An order could also be sent after a freeze between planning and sending: whether another owner may
+be active was checked before the freeze, and the lease is computed after it.
 """
 
 from __future__ import annotations
@@ -39,12 +35,12 @@
 LEASE_S = 6.0
 
 
-def _ignore(*_told: object, **_fields: object) -> None:
-    """Take what is measured or logged."""
+def _ignore(*_args: object, **_fields: object) -> None:
+    """Discard what is measured or logged."""
 
 
-class _Turned:
-    """A dispatcher of which each turn of the loop is made by hand."""
+class _SteppedDispatcher:
+    """A dispatcher whose event loop is advanced by hand."""
 
     def __init__(self) -> None:
         self.core: ShardCore = core_with(step(1))
@@ -74,34 +70,34 @@
         with patch.object(time, "clock_gettime", lambda _clock: now):
             self.dispatcher._plan()
 
-    def turn(self, now: float) -> None:
-        """Let the orders that wait go out."""
+    def run_pending(self, now: float) -> None:
+        """Send the queued orders."""
         waiting, self.waiting[:] = list(self.waiting), []
         with patch.object(time, "clock_gettime", lambda _clock: now):
             for work in waiting:
                 asyncio.run(work)
 
 
-def test_a_start_on_an_executor_that_lapsed_before_it_went_out_is_not_sent() -> None:
-    turned = _Turned()
-    core = turned.core
+def test_a_start_is_not_sent_once_the_lease_of_its_executor_has_expired() -> None:
+    stepped = _SteppedDispatcher()
+    core = stepped.core
     for executor in core.executors.values():
         assert executor.clock
         executor.clock.granted_s = executor.clock.clock_s + LEASE_S
-    # The process stood still since 0.1; its last proof is as old.
+    # The process was frozen since 0.1, the time of its last proof of ownership.
     now = 7.0
-    turned.proof.proved(0.1)
-    turned.plan(now)
+    stepped.proof.proved(0.1)
+    stepped.plan(now)
     (attempt,) = (a for e in core.executors.values() for a in e.attempts.values())
     core.on_silent(attempt.executor_id, now)
     assert attempt.task.pending
-    turned.turn(now)
-    assert turned.sent == []
+    stepped.run_pending(now)
+    assert stepped.sent == []
 
 
-def test_a_start_is_not_sent_once_its_owner_may_not_act_any_more() -> None:
-    turned = _Turned()
-    turned.proof.proved(0.1)
-    turned.plan(0.2)
-    turned.turn(0.2 + 2 * MAX_UNPROVED_S)
-    assert turned.sent == []
+def test_a_start_is_not_sent_once_its_owner_may_no_longer_act() -> None:
+    stepped = _SteppedDispatcher()
+    stepped.proof.proved(0.1)
+    stepped.plan(0.2)
+    stepped.run_pending(0.2 + 2 * MAX_UNPROVED_S)
+    assert stepped.sent == []
--- a/tests/shard/test_rebalance.py
+++ b/tests/shard/test_rebalance.py
@@ -1,4 +1,4 @@
-"""What is handed over, and to how many."""
+"""Tests which jobs and tasks an owner hands over to other halls."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     assert [handover.job_id for handover in found] == [JOB]
 
 
-def test_work_does_not_move_to_a_hall_without_room() -> None:
+def test_work_does_not_move_to_a_hall_without_capacity() -> None:
     core = core_with(step(1, cpu=9_000))
     assert plan(core, 0.1) == []
     rebalancer = Rebalancer(core, summaries=lambda: {1: FULL}, count_capable=lambda *_: 2)
     assert rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S) == []
 
 
-def test_inherited_work_in_doubt_does_not_move() -> None:
+def test_inherited_work_does_not_move_before_all_executors_reported() -> None:
     core = core_with(step(1, cpu=9_000))
     core.jobs[JOB].inherited = True
     core.inherit([next(iter(core.executors.values())).record], 99.0)
@@ -47,7 +47,7 @@
     assert rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S) == []
 
 
-def test_a_displaced_task_may_use_the_room_kept_for_short_ones() -> None:
+def test_a_displaced_task_may_use_the_capacity_reserved_for_short_tasks() -> None:
     tight = HallSummary(capacity=16_000, free=6_500, free_by_executor=((6_500, 32_000), (0, 0)))
     core = core_with(step(3, standing=True, cpu=6_000, max_per_executor=1))
     assert len(plan(core, 0.1)) == 2
@@ -59,11 +59,11 @@
     assert handover.tasks == ((0, 2),)
 
 
-def test_a_displaced_task_is_lent_before_one_that_never_ran() -> None:
-    """A task of its step that had never run stood before it and may not use such room.
+def test_a_displaced_task_is_delegated_before_one_that_never_ran() -> None:
+    """Guards against a displaced task that stays in a full hall behind a task of its step.
 
-    Other halls had room for it only in what is kept for short work; so it stayed at home,
-    which was full, for as long as the other task waited.
+    The other task never ran and may not use capacity reserved for short work, the only capacity
+    that other halls have.
     """
     tight = HallSummary(capacity=16_000, free=6_500, free_by_executor=((6_500, 32_000), (0, 0)))
     core = core_with(step(4, standing=True, cpu=6_000, max_per_executor=1))
@@ -74,10 +74,10 @@
     assert handover.tasks == ((0, 3),)
 
 
-def test_a_task_that_may_not_start_yet_is_not_lent() -> None:
-    """Guards against an executor more that is lost to a task whose verdict is pending.
+def test_a_task_that_may_not_start_yet_is_not_delegated() -> None:
+    """Guards against one more executor crashed by a task that is about to be given up.
 
-    The other hall started it while its own one was about to give it up.
+    The other hall started the task while its home hall was about to give it up.
     """
     core = core_with(step(1, standing=True, cpu=9_000))
     assert plan(core, 0.1) == []
@@ -90,17 +90,20 @@
     assert len(rebalancer.plan(FULL, 0.2 + HANDOVER_WAIT_S)) == 1
 
 
-def test_a_loan_given_back_is_in_every_later_record() -> None:
-    """A second record before the first was read left the first's loan out: its task was lost."""
-    given = ReturnedDelegations()
-    assert given.add(JOB, (), [Delegation(0, 1, 1)]) == (Delegation(0, 1, 1),)
-    assert given.add(JOB, (), [Delegation(0, 2, 1)]) == (Delegation(0, 1, 1), Delegation(0, 2, 1))
-    given.keep_only({"another"})
-    assert given.add(JOB, [Delegation(0, 1, 1)], []) == (Delegation(0, 1, 1),)
+def test_a_returned_delegation_is_in_every_later_record_until_it_is_read() -> None:
+    """Guards against a lost task if a second record, written before the first is read, omits it."""
+    returned = ReturnedDelegations()
+    assert returned.add(JOB, (), [Delegation(0, 1, 1)]) == (Delegation(0, 1, 1),)
+    assert returned.add(JOB, (), [Delegation(0, 2, 1)]) == (
+        Delegation(0, 1, 1),
+        Delegation(0, 2, 1),
+    )
+    returned.keep_only({"another"})
+    assert returned.add(JOB, [Delegation(0, 1, 1)], []) == (Delegation(0, 1, 1),)
 
 
-def test_a_short_job_moves_soon_also_to_a_hall_where_best_effort_work_waits() -> None:
-    """It waited for room at home, since every hall had some best-effort work waiting."""
+def test_a_short_job_moves_soon_even_to_a_hall_where_best_effort_work_waits() -> None:
+    """Guards against a short job that stays at home as every hall has waiting best-effort work."""
     core = core_with(step(1, cpu=9_000))
     assert plan(core, 0.1) == []
     busy = replace(EMPTY, waiting=50_000)
@@ -112,8 +115,8 @@
     assert rebalancer.plan(FULL, 0.2 + SHORT_TASK_HANDOVER_WAIT_S) == []
 
 
-def test_a_job_that_an_end_shows_to_have_begun_does_not_move() -> None:
-    """A new owner learnt of it from an end alone, and the other hall ran all of it again."""
+def test_a_job_that_has_begun_by_a_reported_end_does_not_move() -> None:
+    """Guards against a job that runs again in another hall; a new owner knows only the end."""
     core = core_with(step(1), step(1, cpu=9_000))
     core.jobs[JOB].inherited = True
     end = EndedTask(1, TaskName(JOB, 0, 0, 0), 1, EndKind.DONE, "")
@@ -125,7 +128,7 @@
 
 
 def test_a_summary_of_another_version_is_read() -> None:
-    """A renewal that does not decode is passed over, and its owner then counts as silent."""
+    """A renewal that does not decode is skipped, and its owner then counts as silent."""
     fields = replace(EMPTY, queued=7).encode()
     assert HallSummary.decode(fields).queued == 7
     assert HallSummary.decode(fields[:-1]) == replace(EMPTY, queued=7)
--- a/tests/shard/test_work_left.py
+++ b/tests/shard/test_remaining_work.py
@@ -1,4 +1,4 @@
-"""What is left of wide steps, as the order of work reads it at each plan."""
+"""Tests the remaining work of wide steps, from which each plan orders the steps."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from linkspan.shard.shard_job import ShardJob
 
 WIDTH = 160
-"""Tasks of the widest step that was seen; 39 on average."""
+"""Tasks of the widest step observed; the average is 39."""
 
 PARTS = st.lists(st.sampled_from((None, 0, 35, 100, -1)), min_size=1, max_size=WIDTH)
-"""Percent that each task's run reports; none runs, or it is done (-1)."""
+"""Progress in percent that each task's run reports; None if no run exists, -1 if it is done."""
 
 
 def run_with(parts: list[int | None]) -> JobRun:
--- a/tests/shard/test_steps_that_fit_nowhere.py
+++ b/tests/shard/test_steps_that_fit_nowhere.py
@@ -1,4 +1,4 @@
-"""Steps that wait for room cost little."""
+"""Tests that planning spends little time on steps that wait for capacity."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 STEPS = 30
 
 
-class Reasons:
-    """Counts how often an executor is asked for its reasons against a step."""
+class ReasonCounter:
+    """Counts how often an executor is examined for reasons against a step."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.asked = 0
@@ -41,7 +41,7 @@
 
 
 def full_hall(*, best_effort: bool) -> ShardCore:
-    """Return a core with waiting steps of as many sizes, and executors that are full."""
+    """Return a core with waiting steps of different sizes and executors without free capacity."""
     core = core_with(executors=EXECUTORS)
     for executor in core.executors.values():
         place(core, executor, cpu=7_000, best_effort=best_effort)
@@ -52,48 +52,53 @@
 
 
 @pytest.mark.parametrize("best_effort", [False, True])
-def test_a_step_that_fits_nowhere_looks_at_no_executor(
+def test_a_step_that_fits_nowhere_examines_no_executor(
     monkeypatch: pytest.MonkeyPatch, best_effort: bool
 ) -> None:
-    """Guards against plans whose time grows with waiting steps times executors."""
+    """Guards against planning time that grows with waiting steps times executors."""
     core = full_hall(best_effort=best_effort)
     planner = Planner(core)
-    # The first plan tells in the log why they wait.
+    # The first plan logs why the steps wait, which examines executors.
     planner.plan(1.0, 1.0)
-    reasons = Reasons(monkeypatch)
+    reasons = ReasonCounter(monkeypatch)
     planner.plan(1.1, 1.1)
     assert core.orders == []
     assert reasons.asked == 0
 
 
-def drawn_hall(seed: int) -> ShardCore:
-    """Return a core with executors that are partly full and waiting steps of all kinds."""
-    draws = Random(seed)
+def random_hall(seed: int) -> ShardCore:
+    """Return a core with partly used executors and waiting steps of all kinds."""
+    random = Random(seed)
     core = core_with(executors=EXECUTORS)
     for executor in core.executors.values():
-        place(core, executor, cpu=draws.randrange(0, 8_000, 500), best_effort=draws.random() < 0.5)
+        place(
+            core, executor, cpu=random.randrange(0, 8_000, 500), best_effort=random.random() < 0.5
+        )
     for number in range(STEPS):
-        kind = draws.choice(({}, {"standing": True}, {"best_effort": True}, {"gang": True}))
-        most = draws.choice((0, 1))
+        kind = random.choice(({}, {"standing": True}, {"best_effort": True}, {"gang": True}))
+        max_per_executor = random.choice((0, 1))
         wide = step(
-            draws.randint(1, 6), cpu=draws.randrange(500, 8_000, 100), max_per_executor=most, **kind
+            random.randint(1, 6),
+            cpu=random.randrange(500, 8_000, 100),
+            max_per_executor=max_per_executor,
+            **kind,
         )
         core.add_job(submitted(wide, job_id=f"{number:016x}"), 0.0)
     return core
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_plan_that_looks_at_all_executors_orders_the_same(
+def test_a_plan_that_examines_all_executors_gives_the_same_orders(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    """Guards against steps placed by what was free before the steps ahead of them."""
-    starts = plan(drawn_hall(seed), 4.0)
+    """Guards against steps placed by the capacity that was free before earlier steps."""
+    starts = plan(random_hall(seed), 4.0)
 
-    def all_of_them(
+    def all_executors(
         free: FreeCapacity, group: ExecutorGroup, _demand: Demand, _cores: float
     ) -> Any:
         return [row[0] for row in free._rows(group).values()]
 
-    monkeypatch.setattr(FreeCapacity, "with_capacity", all_of_them)
-    assert plan(drawn_hall(seed), 4.0) == starts
+    monkeypatch.setattr(FreeCapacity, "with_capacity", all_executors)
+    assert plan(random_hall(seed), 4.0) == starts
     assert starts
--- a/tests/shard/test_starts_that_are_stopped.py
+++ b/tests/shard/test_stopped_unanswered_starts.py
@@ -1,4 +1,7 @@
-"""Starts without an answer that are stopped instead of sent again, and the lives after theirs."""
+"""Tests unanswered starts that are stopped instead of sent again.
+
+A start that is stopped at one incarnation of its executor may still arrive at the next one.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,8 @@
     return task
 
 
-def empty(core: ShardCore, incarnation: str, started_at_ms: int, *, asked: float) -> None:
-    """Let a life answer that lists nothing."""
+def report_nothing(core: ShardCore, incarnation: str, started_at_ms: int, *, asked: float) -> None:
+    """Let an incarnation report that it has no runs."""
     core.on_report(
         incarnation,
         ExecutorReport(asked, (), (), started_at_ms=started_at_ms),
@@ -31,6 +34,7 @@
 
 
 def stops(core: ShardCore) -> list[StopOrder]:
+    """Remove all pending orders and return the stops."""
     orders, core.orders = core.orders, []
     return [order for order in orders if isinstance(order, StopOrder)]
 
@@ -39,39 +43,39 @@
     core.executors[name].register(replace(core.executors[name].record, draining=True))
 
 
-def stopped_at(name: str) -> ShardCore:
-    """Return a core with a start without an answer that was stopped, as its executor drains."""
+def core_with_stopped_start(name: str) -> ShardCore:
+    """Return a core with an unanswered start that was stopped, as its executor drains."""
     core = core_with(step(1, standing=True), executors=0)
     add_executor(core, name)
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, UNANSWERED_AT)
     drain(core, name)
-    empty(core, name, 1, asked=2.1)
+    report_nothing(core, name, 1, asked=2.1)
     (stop,) = stops(core)
     core.on_stopped(stop, True, 2.2)
-    empty(core, name, 1, asked=2.3)
+    report_nothing(core, name, 1, asked=2.3)
     return core
 
 
-def test_a_task_is_begun_nowhere_else_while_a_start_of_it_may_come_to_a_next_life() -> None:
-    """Guards against a start that was stopped at its life and is carried out by the next one.
+def test_a_task_does_not_start_elsewhere_while_a_start_may_reach_a_next_incarnation() -> None:
+    """Guards against a task that runs twice: the next incarnation carries out a stopped start.
 
-    Its task was not sent again but begun elsewhere, and so ran twice.
+    The task was not sent again to that executor, but started elsewhere.
     """
-    core = stopped_at("e0@1")
+    core = core_with_stopped_start("e0@1")
     assert not only_task(core).pending
-    empty(core, "e0@1", 2, asked=4.0)
+    report_nothing(core, "e0@1", 2, asked=4.0)
     (stop,) = stops(core)
-    assert stop.executor_id == "e0@2", "the next life is told, too"
+    assert stop.executor_id == "e0@2", "the next incarnation is sent the stop, too"
     core.on_stopped(stop, True, 4.2)
-    empty(core, "e0@2", 2, asked=4.3)
-    assert not only_task(core).pending, "and the one after that may get it"
-    empty(core, "e0@2", 2, asked=UNANSWERED_AT + MAX_START_DELAY_S)
+    report_nothing(core, "e0@2", 2, asked=4.3)
+    assert not only_task(core).pending, "the start may reach the incarnation after that"
+    report_nothing(core, "e0@2", 2, asked=UNANSWERED_AT + MAX_START_DELAY_S)
     assert only_task(core).pending
 
 
-def test_an_id_that_never_comes_again_is_not_waited_for() -> None:
-    """Where executors tell no birth, a stop that was taken is enough."""
+def test_an_executor_without_incarnations_is_not_waited_for() -> None:
+    """If executors report no start time, a stop that was taken is enough."""
     core = core_with(step(1, standing=True), executors=1)
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, UNANSWERED_AT)
@@ -83,19 +87,20 @@
     assert only_task(core).pending
 
 
-def test_a_suspect_is_sent_again_while_the_life_goes_on_that_it_was_sent_to() -> None:
-    """Guards against a standing task that waits for twelve seconds after each answer that is lost.
+def test_a_start_of_an_isolated_task_is_sent_again_while_its_incarnation_lives() -> None:
+    """Guards against a standing task that waits twelve seconds after each lost answer.
 
-    Its executor lives, so the start has not ended it. After a fall it may have: it is stopped.
+    While the executor lives, the start has not crashed it. After a crash it may have: it is
+    stopped.
     """
     core = core_with(step(1, standing=True), executors=0)
     add_executor(core, "e0@1")
     core.set_crash_history(only_task(core), CrashHistory(1, 4))
     (order,) = plan(core, 1.0)
     core.on_start_unanswered(order, UNANSWERED_AT)
-    empty(core, "e0@1", 1, asked=2.1)
+    report_nothing(core, "e0@1", 1, asked=2.1)
     (again,) = core.orders
     assert isinstance(again, StartOrder) and again.run == order.run
     core.on_start_unanswered(again, 3.1)
-    empty(core, "e0@1", 2, asked=4.0)
+    report_nothing(core, "e0@1", 2, asked=4.0)
     assert stops(core)
--- a/tests/shard/test_tokens.py
+++ b/tests/shard/test_tokens.py
@@ -1,4 +1,4 @@
-"""Fencing tokens of executors' lives: each is told a higher one than those before it."""
+"""Tests fencing tokens: each incarnation of an executor gets a higher one than those before it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return view
 
 
-def test_a_next_life_is_told_a_higher_token() -> None:
+def test_a_next_incarnation_gets_a_higher_token() -> None:
     core = core_with(step(1), executors=0)
     core.tokens.raise_limit(5)
     add_executor(core, FIRST)
@@ -40,7 +40,7 @@
     assert core.executors[SECOND].token == core.executors[FIRST].token + 1
 
 
-def test_a_life_that_is_found_after_the_one_before_left_is_told_a_higher_token() -> None:
+def test_an_incarnation_found_after_the_previous_one_ended_gets_a_higher_token() -> None:
     core = core_with(step(1), executors=0)
     core.tokens.raise_limit(5)
     add_executor(core, FIRST)
@@ -50,7 +50,7 @@
     assert core.executors[SECOND].token > token
 
 
-def test_no_token_is_higher_than_what_is_this_tenures_own() -> None:
+def test_no_token_exceeds_the_limit_of_its_tenure() -> None:
     tokens = TenureTokens(7)
     tokens.on_incarnation_end(7)
     assert tokens.next_token([]) == 7
@@ -65,8 +65,8 @@
     assert view.token_limit == 10
 
 
-def test_a_renewal_behind_records_that_went_raises_no_limit() -> None:
-    """A claim of another host may be among them, and its token is the higher one."""
+def test_a_renewal_after_a_gap_in_the_log_raises_no_limit() -> None:
+    """The missing records may contain a claim of another host, whose token is higher."""
     view = _view()
     view.on_gap(0.5)
     view.apply(_entry(9, OwnerAct.RENEW, "me", token=5, number=1), 1.0)
@@ -77,24 +77,24 @@
     view = _view()
     view.apply(_entry(6, OwnerAct.CLAIM, "other"), 0.5)
     view.apply(_entry(9, OwnerAct.RENEW, "me", token=5, number=1), 1.0)
-    assert view.token_limit == 7, "of the other's tenure, which is not this process's"
+    assert view.token_limit == 7, "the token of the other host's tenure, not of this process"
     assert not view.mine
 
 
-def test_a_call_that_a_next_life_refuses_does_not_end_the_tenure() -> None:
+def test_a_call_refused_by_a_next_incarnation_does_not_end_the_tenure() -> None:
     core = core_with(step(1), executors=0)
     core.tokens.raise_limit(5)
     add_executor(core, FIRST)
     add_executor(core, SECOND)
     calls = ExecutorCalls(lambda token: cast(Any, token), core.token_outdated)
     with pytest.raises(Unreachable), calls.to(core.executors[FIRST]):
-        raise Fenced("the next life was told a higher token")
+        raise Fenced("the next incarnation has a higher token")
     with pytest.raises(Fenced), calls.to(core.executors[SECOND]):
         raise Fenced("a newer owner is at work")
 
 
-def test_a_newer_owner_is_believed_though_other_executors_were_told_higher_tokens() -> None:
-    """Guards against an owner that goes on calling after a newer one was obeyed."""
+def test_a_newer_owner_ends_the_tenure_even_if_other_executors_have_higher_tokens() -> None:
+    """Guards against an owner that continues to call executors that a newer owner has called."""
     core = core_with(step(1), executors=0)
     core.tokens.raise_limit(5)
     add_executor(core, "e1@1000")
@@ -106,9 +106,9 @@
 
 
 def test_a_tenure_has_a_higher_token_for_a_next_life_from_its_claim_on() -> None:
-    """Guards against an order of this tenure that a next life takes in its first 0.6 s: TWICE.
+    """Guards against an order that also runs at a next incarnation in a tenure's first 0.6 s.
 
-    Until a renewal was read back, the next life is told the token of the one before.
+    Until a renewal is read back, the next incarnation gets the same token as the previous one.
     """
     view = _view()
     assert view.owner
--- a/tests/shard/test_unknown_ends.py
+++ b/tests/shard/test_unknown_ends.py
@@ -1,4 +1,4 @@
-"""An end that belongs to no job of the shard can be found in the log."""
+"""Tests the log line on an end that belongs to no job of the shard."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("left", [False, True])
-def test_an_end_of_no_job_here_is_told_at_a_bounded_rate(left: bool) -> None:
+def test_an_end_of_an_unknown_job_is_logged_at_a_limited_rate(left: bool) -> None:
     rows: list[dict[str, object]] = []
 
     def log(event: Event, **fields: object) -> None:
--- a/tests/shard/test_unknown_runs.py
+++ b/tests/shard/test_unknown_runs.py
@@ -1,4 +1,4 @@
-"""Runs that an executor lists and of whose job the shard knows nothing."""
+"""Tests runs that an executor lists and whose job the shard does not know."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 UNKNOWN = TaskName("00000000000000bb", 0, 0, 0)
 
 
-def test_a_run_of_an_unknown_job_takes_room_until_it_has_ended() -> None:
-    """An executor that guards nothing would be overfilled; how much room it takes is not known."""
+def test_a_run_of_an_unknown_job_takes_capacity_until_it_has_ended() -> None:
+    """Guards against an overcommitted executor: how much capacity the run takes is not known."""
     core = core_with(step(8), executors=1)
     services = {"pool": Service("pool", guards_room=False)}
     core.configure(Configuration(2, {QUEUE.name: QUEUE}, services))
