--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -1,4 +1,10 @@
-"""One gateway's pool: limits, queue, retries and failures, as a machine and by case."""
+"""The request pool of one gateway: in-flight limits, queue, retries and failing executors.
+
+A property test drives the pool with random steps and guards against an executor that gets more
+requests than its share, and against a request that is answered twice or never. The other tests
+are single cases, most of them about which requests the queue admits: a wrong drain rate either
+admits requests that miss their deadlines or refuses requests that could have been served.
+"""
 
 from __future__ import annotations
 
@@ -95,14 +101,14 @@
     assert all(ended[n] == (n not in open_tickets) for n in range(1, arrived + 1))
 
 
-def test_full_queue_is_refused_at_once() -> None:
+def test_request_to_a_full_queue_is_refused_at_once() -> None:
     pool = _pool(queue=1)
     results = [pool.arrive(n, 10.0, 0.0) for n in range(10)]
     assert [type(r) for r in results] == [Assigned] * 8 + [Queued, Refused]
     assert results[-1] == Refused(9, Refusal.QUEUE_FULL, 1)
 
 
-def test_hopeless_deadline_is_refused_at_once_by_the_drain_rate() -> None:
+def test_deadline_that_the_drain_rate_cannot_meet_is_refused_at_once() -> None:
     pool = _pool(queue=100)
     for n in range(8):
         pool.arrive(n, 10.0, 0.0)
@@ -115,8 +121,12 @@
     assert refused == Refused(21, Refusal.TOO_LATE, 3)
 
 
-def test_burst_of_answers_does_not_promise_more_than_the_slots_can_do() -> None:
-    """Found by a process test: a queue admitted by a burst waited out its deadline."""
+def test_burst_of_answers_does_not_admit_more_than_the_slots_can_serve() -> None:
+    """Check that a burst of answers admits no more requests than the slots can serve in time.
+
+    The burst once overstated the drain rate, and the requests admitted by it stayed in the queue
+    until their deadlines. Found by a process test.
+    """
     pool = _pool(queue=100)
     for n in range(8):
         pool.arrive(n, 10.0, 0.0)
@@ -130,11 +140,12 @@
     assert kinds.count(Refused) == 16
 
 
-def test_one_slow_first_answer_refuses_nobody() -> None:
-    """The first answer came over a new connection and tells little of the next ones.
+def test_one_slow_first_answer_causes_no_refusal() -> None:
+    """Check that the drain rate is not taken from a single slow answer.
 
-    Times of a play with 100 requests at once: the first answer took 326 ms, the next
-    108 ms, and the last of those that waited had left the queue after another 350 ms.
+    The first answer comes over a new connection and says little about the next ones. The times
+    are those of a run with 100 simultaneous requests: the first answer took 326 ms, the next
+    108 ms, and the last queued request left the queue after another 350 ms.
     """
     pool = _pool(queue=100)
     for n in range(39):
@@ -146,8 +157,8 @@
     assert [type(result) for result in results] == [Queued] * 11
 
 
-def test_a_lull_does_not_make_the_next_burst_hopeless() -> None:
-    """A service that is seldom asked answers seldom, however fast it is."""
+def test_idle_time_does_not_cause_refusals_in_the_next_burst() -> None:
+    """Check that a low request rate is not mistaken for a low drain rate."""
     pool = _pool(queue=100)
     for n in range(4):
         assigned = pool.arrive(n, n + 3.0, float(n))
@@ -158,13 +169,13 @@
     assert kinds == [Assigned] * 8 + [Queued] * 52
 
 
-def test_no_executor_is_told_so() -> None:
+def test_pool_without_executors_refuses_with_that_reason() -> None:
     pool = _pool()
     pool.set_executors({}, frozenset())
     assert pool.arrive(1, 1.0, 0.0) == Refused(1, Refusal.NO_EXECUTOR, 1)
 
 
-def test_failing_executor_is_set_aside_but_never_most_of_them() -> None:
+def test_failing_executors_are_excluded_but_never_most_of_them() -> None:
     pool = _pool()
     for name in ("e1", "e2", "e3"):
         for _ in range(5):
@@ -173,7 +184,7 @@
     assert isinstance(pool.arrive(1, 1.0, 0.0), Assigned)
 
 
-def test_breaker_opens_tries_and_closes() -> None:
+def test_breaker_opens_probes_and_closes() -> None:
     breaker = Breaker(failure_threshold=2, initial_backoff_s=1.0)
     assert [breaker.record_failure(0.0), breaker.record_failure(0.0)] == [False, True]
     assert [breaker.allows(0.5), breaker.allows(1.0)] == [False, True]
@@ -185,7 +196,7 @@
     assert breaker.is_closed
 
 
-def test_retries_in_a_full_outage_stay_within_a_tenth() -> None:
+def test_retries_in_a_full_outage_stay_within_a_tenth_of_the_requests() -> None:
     budget = RetryBudget()
     extra = 0
     for _ in range(10_000):
@@ -194,7 +205,7 @@
     assert 990 <= extra <= 1_000
 
 
-def test_drain_rate_forgets() -> None:
+def test_drain_rate_ignores_answers_outside_its_window() -> None:
     rate = DrainRate(window_s=5.0)
     for n in range(11):
         rate.record(n * 0.1)
@@ -202,17 +213,17 @@
     assert rate.per_second(20.0) == 0.0
 
 
-def test_unknown_picker_names_those_there_are() -> None:
+def test_unknown_picker_error_lists_the_known_pickers() -> None:
     with pytest.raises(InvalidInput, match="least_loaded"):
         PICKERS.make("magic")
 
 
-def test_shortest_wait_avoids_the_slow_one() -> None:
+def test_shortest_wait_avoids_a_slow_executor() -> None:
     slow, fast = Candidate("slow", 0, 3, 0.3), Candidate("fast", 1, 3, 0.1)
     assert PICKERS.make("shortest_wait").pick([slow, fast], random.Random(1)) == fast
 
 
-def test_first_claim_wins_and_late_ones_do_not_count() -> None:
+def test_first_claim_wins_and_late_claims_are_ignored() -> None:
     register = ClaimRegister()
     first, second = Claim("k", "g1", 1, 0), Claim("k", "g2", 1, 0)
     register.apply(0, encode_claims([first]))
@@ -223,7 +234,7 @@
     assert register.winner("old") is None
 
 
-def test_released_key_may_be_claimed_again_by_its_holder_only() -> None:
+def test_a_claimed_key_is_released_by_its_holder_only() -> None:
     register = ClaimRegister()
     first, second = Claim("k", "g1", 1, 0), Claim("k", "g2", 7, 0)
     register.apply(0, encode_claims([first]))
--- a/tests/routing/test_shares_machine.py
+++ b/tests/routing/test_shares_machine.py
@@ -1,4 +1,9 @@
-"""Gateways that share slots: never more than there are, whatever happens to them."""
+"""Gateways that divide the slots of executors: together they never use more than there are.
+
+A state machine starts, kills, freezes and cuts off gateways whose host list lags. Guards against
+two gateways that use the same slot because they see different members, and against slots that
+stay unused once all faults are over.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +23,7 @@
 
 
 class SimGateway:
-    """A gateway's shares and the requests that it has in flight."""
+    """The share table of a simulated gateway and its requests in flight."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -29,7 +34,7 @@
         self.listed: set[str] = set()
 
     def fits(self, now: float) -> bool:
-        """Return whether its requests fit its shares."""
+        """Return whether the requests in flight fit the gateway's shares."""
         return all(self.in_flight[e] <= self.table.share(e, SLOTS, now) for e in EXECUTORS)
 
 
@@ -207,20 +212,22 @@
 )
 
 
-def test_slots_are_dealt_evenly() -> None:
+def test_slots_are_divided_evenly() -> None:
     owners = Counter(slot_owners("e1", 8, frozenset({"a", "b", "c"})))
     assert sorted(owners.values()) == [2, 3, 3]
 
 
-def _moved(before: list[tuple[str, ...]], after: list[tuple[str, ...]], gone: str) -> float:
-    """Return the part of the slots of those who stay that change hands."""
+def _moved_fraction(
+    before: list[tuple[str, ...]], after: list[tuple[str, ...]], leaver: str
+) -> float:
+    """Return the fraction of the remaining gateways' slots whose owner changes."""
     pairs = [p for old, new in zip(before, after, strict=True) for p in zip(old, new, strict=True)]
-    kept = [(one, two) for one, two in pairs if one != gone]
-    return sum(one != two for one, two in kept) / len(kept)
+    remaining = [(old, new) for old, new in pairs if old != leaver]
+    return sum(old != new for old, new in remaining) / len(remaining)
 
 
 def test_few_slots_move_when_a_gateway_leaves() -> None:
-    """Less than half of what moves when slots are dealt out in turn."""
+    """Check that less than half as many slots move as with slots dealt out in turn."""
     four, three = "abcd", "abc"
     ranked = [
         [slot_owners(f"e{n}", 8, frozenset(members)) for n in range(24)]
@@ -229,9 +236,9 @@
     dealt = [
         [tuple(members[slot % len(members)] for slot in range(8))] for members in (four, three)
     ]
-    assert _moved(*dealt, gone="d") == 0.5
-    assert _moved(*ranked, gone="d") < 0.2
+    assert _moved_fraction(*dealt, leaver="d") == 0.5
+    assert _moved_fraction(*ranked, leaver="d") < 0.2
 
 
-def test_digest_does_not_depend_on_order() -> None:
+def test_digest_does_not_depend_on_the_order_of_members() -> None:
     assert division_digest(["b", "a"]) == division_digest(["a", "b"])
