--- a/tests/gateway/test_requests_in.py
+++ b/tests/gateway/test_request_parsing.py
@@ -1,4 +1,8 @@
-"""What callers and operators send: any JSON is taken or refused by a typed error."""
+"""Parsing of what callers and operators send: jobs, configuration changes and request headers.
+
+Any JSON is either accepted or refused with a typed error that names a remedy. Guards against
+input that crashes a parser or that reaches the scheduler half parsed.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 from linkspan.model.job import JobSpec, Priority
 from linkspan.model.resources import Resources
 
-GOOD = (
+VALID_JOB = (
     b'{"job_id": "plans-17", "customer": "borne-breizh", "team": "routes", '
     b'"kind": "route-plan", "count": 40, "size": {"milli_cpu": 2000, "memory_mb": 4000}, '
     b'"priority": "urgent", "repeatable": false, "labels": {"tier": "noisy"}, '
@@ -46,12 +50,12 @@
 
 
 def test_oversized_job_is_refused() -> None:
-    body = GOOD.replace(b'"noisy"', b'"' + b"x" * 20_000 + b'"')
+    body = VALID_JOB.replace(b'"noisy"', b'"' + b"x" * 20_000 + b'"')
     assert "fewer or shorter labels" in str(parse_job(body).error)
 
 
-def test_good_job_is_taken_whole() -> None:
-    assert parse_job(GOOD).ok == JobSpec(
+def test_valid_job_is_parsed_completely() -> None:
+    assert parse_job(VALID_JOB).ok == JobSpec(
         "plans-17",
         "borne-breizh",
         "routes",
@@ -111,7 +115,9 @@
 
 
 @pytest.mark.parametrize(("key", "value", "text", "is_error"), FINDINGS)
-def test_findings_name_the_remedy(key: str, value: object, text: str, is_error: bool) -> None:
+def test_validation_findings_name_the_remedy(
+    key: str, value: object, text: str, is_error: bool
+) -> None:
     (finding,) = validate({key: value})
     assert finding.key == key and text in finding.text and finding.is_error is is_error
 
@@ -132,7 +138,9 @@
 
 
 @pytest.mark.parametrize(("method", "headers", "expected"), TERMS)
-def test_terms(method: str, headers: dict[str, str], expected: RequestTerms) -> None:
+def test_request_terms_follow_method_and_headers(
+    method: str, headers: dict[str, str], expected: RequestTerms
+) -> None:
     assert request_terms(method, headers, SERVICE) == expected
 
 
@@ -142,6 +150,6 @@
         request_terms("GET", {"Linkspan-Deadline-Ms": text}, SERVICE)
 
 
-def test_headers_of_one_connection_stay_there() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = {"Connection": "close, X-Own", "X-Own": "1", "TE": "x", "X-Other": "2"}
     assert forwarded_headers(headers) == {"X-Other": "2"}
