--- a/tests/bench/test_bounds.py
+++ b/tests/bench/test_bounds.py
@@ -1,4 +1,8 @@
-"""Bounds on figures that repeat: bytes, virtual-time tails, and ratios within a run."""
+"""Bounds on reproducible benchmark figures: bytes, tail latencies in virtual time, and ratios.
+
+Guards against a change that makes placement, routing or the encoding of records worse. The
+figures do not depend on the machine: they are sizes, virtual times or ratios within one run.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from bench import capacity, placement, routing
 
 SEEDS = (0, 1)
-SECONDS = 600
+DURATION_S = 600
 
 
 def test_capacity_page_has_the_figures_of_this_code() -> None:
@@ -22,7 +26,7 @@
     assert section.group(1).strip() == capacity.repeatable_table(capacity.repeatable())
 
 
-def test_decisions_stay_small() -> None:
+def test_encoded_decisions_stay_small() -> None:
     figures = capacity.repeatable()
     assert figures["bytes a placement, 20 in a record"] <= 20
     assert figures["bytes an end, 20 in a record"] <= 20
@@ -33,11 +37,11 @@
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS, ids=lambda d: d.name)
-def test_learned_placement_holds_against_the_baselines(
+def test_learned_placement_meets_its_bounds_against_the_baselines(
     deployment: placement.Deployment,
 ) -> None:
     runs = {
-        name: [placement.run(name, deployment, seed, SECONDS) for seed in SEEDS]
+        name: [placement.run(name, deployment, seed, DURATION_S) for seed in SEEDS]
         for name in ("oracle", "fixed_guard", "learned")
     }
     learned = runs["learned"]
@@ -57,7 +61,7 @@
     assert shared.goodput >= 10 * unlimited.goodput
 
 
-def test_routing_tails_at_ordinary_load() -> None:
+def test_routing_tail_latency_at_ordinary_load() -> None:
     assert routing.run("shortest_wait", 0.8).p99 <= 180
     slow = {p: routing.run(p, 0.5, slow=2).p99 for p in ("shortest_wait", "round_robin")}
     assert slow["shortest_wait"] <= 0.8 * slow["round_robin"]
--- a/tests/bench/test_host_profile.py
+++ b/tests/bench/test_host_profile.py
@@ -1,4 +1,9 @@
-"""What a plan keeps between its steps changes none of its orders."""
+"""Values that a plan caches between its steps do not change its orders.
+
+The planner caches the scores of executors and their unused CPU. The test replaces these caches by
+functions that evaluate every executor anew, and compares the orders of the same traffic. Guards
+against a cached value that is not updated after a placement.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +20,12 @@
 from linkspan.shard.task import Task
 from tests.virtual_time import run_virtual
 
-SECONDS = 2.0
-"""Length of the traffic: long enough for steps that wait."""
+TRAFFIC_S = 2.0
+"""Duration of the traffic: long enough for steps to queue."""
 
 
 def _choose(placement: StepPlacement, task: Task, *, starved: bool = False) -> ExecutorState | None:
-    """Choose as the placement does, with each executor looked at anew."""
+    """Choose like `StepPlacement.choose`, but evaluate every executor anew."""
     best, best_score = None, float("inf")
     fill = placement._may_use_headroom(task)
     for executor in placement.executors:
@@ -35,20 +40,22 @@
     return best
 
 
-def _unused(_best_effort_capacity: BestEffortCapacity, executor: ExecutorState) -> float:
+def _unused(_capacity: BestEffortCapacity, executor: ExecutorState) -> float:
     return NO_UNUSED_CPU if executor.over_latency_target else remaining_cpu(executor)
 
 
-def _play() -> tuple[int, str]:
+def _run_traffic() -> tuple[int, str]:
     world = BusyHall(seed=3, batch_per_s=24.0, executors_per_hall=20)
-    run_virtual(world.play(SECONDS), limit_s=60.0)
+    run_virtual(world.play(TRAFFIC_S), limit_s=60.0)
     assert world.problems == []
     return world.runs, world.digest.hexdigest()
 
 
-def test_a_plan_that_looks_at_all_anew_orders_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = _play()
+def test_a_plan_without_cached_values_gives_the_same_orders(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    cached = _run_traffic()
     monkeypatch.setattr(StepPlacement, "choose", _choose)
     monkeypatch.setattr(BestEffortCapacity, "unused_cpu", _unused)
-    assert _play() == kept
-    assert kept[0] > 100
+    assert _run_traffic() == cached
+    assert cached[0] > 100
--- a/tests/bench/test_paired.py
+++ b/tests/bench/test_paired.py
@@ -1,4 +1,8 @@
-"""Rows and differences of paired plays."""
+"""Rows of paired benchmark runs, and the differences between two source trees.
+
+Guards against a comparison that counts runs without a partner, runs that failed, or runs in which
+a rule was broken without saying so.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +16,14 @@
     return Row(Play(tree, "site", "day", seed), {WHOLE: worth, **kinds}, broken)
 
 
-def test_rows_survive_their_file(tmp_path: Path) -> None:
+def test_rows_round_trip_through_a_file(tmp_path: Path) -> None:
     rows = [_row("a", 1, 0.5, short=0.4), _row("b", 1, 0.6, broken="TWICE 1")]
     file = tmp_path / "rows.jsonl"
     file.write_bytes(b"".join(row.encode() for row in rows))
     assert read_rows(file) == rows
 
 
-def test_only_pairs_count() -> None:
+def test_only_complete_pairs_are_compared() -> None:
     rows = [_row("a", 1, 0.5), _row("b", 1, 0.6), _row("a", 2, 0.1), _row("b", 3, 0.9)]
     (whole,) = differences(rows, "a", "b")
     assert whole.pairs == 1
@@ -27,14 +31,14 @@
     assert whole.error is None
 
 
-def test_a_play_without_figures_is_named_and_not_counted() -> None:
+def test_a_run_without_figures_is_listed_but_not_compared() -> None:
     failed = Row(Play("b", "site", "day", 1), {}, "not played, exit 2")
     rows = [_row("a", 1, 0.5), failed, _row("a", 2, 0.5), _row("b", 2, 0.7)]
     assert [d.pairs for d in differences(rows, "a", "b")] == [1]
     assert "not played, exit 2" in table(rows, "a", "b")
 
 
-def test_a_report_with_a_broken_rule_says_so() -> None:
+def test_the_row_of_a_report_names_its_broken_rules() -> None:
     report = {"G": 0.5, "classes": [{"name": "short", "worth": 0.25}], "breaks": {"TWICE": 2}}
     row = Row.of_report(Play("a", "site", "day", 1), report | {"fault": None, "short": ["floor"]})
     assert row.figures == {WHOLE: 0.5, "short": 0.25}
