--- a/tests/config/test_store.py
+++ b/tests/config/test_store.py
@@ -1,4 +1,8 @@
-"""Versions never go back, whatever order records, peers and restarts come in."""
+"""The configuration store: its version never decreases, whatever order changes arrive in.
+
+A host reads changes from a stream and adopts newer states from peers. Guards against a host that
+returns to an older version, and against a change that overwrites another one on the same key.
+"""
 
 from __future__ import annotations
 
@@ -22,12 +26,12 @@
     return encode_change(Change(change_id, base, "ana", dict.fromkeys(keys, QUOTA), **more))
 
 
-def test_first_of_two_racing_changes_wins_and_the_other_is_told_what_changed() -> None:
+def test_first_of_two_racing_changes_wins_and_the_other_gets_the_conflicts() -> None:
     store = ConfigStore()
     assert store.apply(0, _change("a", 0, "quotas/maps")) == ChangeResult(True, 1)
-    lost = store.apply(1, _change("b", 0, "quotas/maps", "quotas/feeds"))
+    rejected = store.apply(1, _change("b", 0, "quotas/maps", "quotas/feeds"))
     reason = "changed since version 0; read these keys and submit the change again"
-    assert lost == ChangeResult(False, 1, reason, ("quotas/maps",))
+    assert rejected == ChangeResult(False, 1, reason, ("quotas/maps",))
     assert "quotas/feeds" not in store.state.document
 
 
@@ -44,12 +48,12 @@
     assert store.version == 1
 
 
-def test_invalid_document_is_refused_whole() -> None:
+def test_change_with_an_invalid_key_is_refused_completely() -> None:
     store = ConfigStore()
     body = encode_change(Change("a", 0, "ana", {"quotas/maps": QUOTA, "quota/x": QUOTA}))
-    verdict = store.apply(0, body)
-    assert verdict is not None and not verdict.accepted
-    assert verdict.reason.startswith("quota/x: unknown section")
+    result = store.apply(0, body)
+    assert result is not None and not result.accepted
+    assert result.reason.startswith("quota/x: unknown section")
     assert store.state.document == {}
 
 
@@ -57,11 +61,11 @@
     store = ConfigStore()
     store.apply(0, _change("a", 0, "quotas/maps"))
     store.apply(1, encode_change(Change("b", 1, "ana", {}, ("quotas/maps",))))
-    lost = store.apply(2, _change("c", 1, "quotas/maps"))
-    assert lost is not None and lost.conflicts == ("quotas/maps",)
+    rejected = store.apply(2, _change("c", 1, "quotas/maps"))
+    assert rejected is not None and rejected.conflicts == ("quotas/maps",)
 
 
-def test_rubbish_on_the_stream_is_passed_over() -> None:
+def test_malformed_record_on_the_stream_is_skipped() -> None:
     store = ConfigStore()
     assert store.apply(0, b"\xff{") is None
     assert store.apply(1, _change("a", 0, "quotas/maps")) == ChangeResult(True, 2)
--- a/tests/selectors/test_selector.py
+++ b/tests/selectors/test_selector.py
@@ -1,4 +1,8 @@
-"""The selector language: what matches, and what its errors say."""
+"""The selector language: which labels match, and what syntax errors report.
+
+Guards against text that is parsed into another selector than it says, and against an error
+without a position or a remedy.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 @pytest.mark.parametrize(("text", "labels", "expected"), CASES)
-def test_matches(text: str, labels: dict[str, str], expected: bool) -> None:
+def test_selector_matches_labels(text: str, labels: dict[str, str], expected: bool) -> None:
     assert parse_selector(text).matches(labels) is expected
 
 
