--- a/tests/scheduler/test_core.py
+++ b/tests/scheduler/test_core.py
@@ -1,4 +1,8 @@
-"""The core in situations that the hall machine found or cannot aim at."""
+"""The scheduler's core in situations that the state machine of a hall found or seldom reaches.
+
+They are about membership of schedulers, lost appends, stale state, drained workers, and leases of
+watchers on workers that only some schedulers can reach.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
 from tests.builders import LedgerBuilder, job, watcher, worker
 from tests.world import World
 
-ANSWER_S = 0.01
-"""Time that an answer of the log takes beside its wait."""
+LOG_ANSWER_S = 0.01
+"""Duration of a log read beyond the time that it waits for records."""
 
 
 def _settled(world: World, job_id: str) -> bool:
@@ -22,22 +26,28 @@
 
 
 def test_expelled_scheduler_joins_again() -> None:
-    """Found by the hall machine: the last scheduler stayed expelled for ever."""
+    """Check that an expelled scheduler joins again when no other one is left.
+
+    It once stayed expelled for ever. Found by the state machine of a hall.
+    """
     world = World(schedulers=2)
     world.advance(4.0)
-    lonely = world.schedulers["s1"]
-    lonely.log_cut = lonely.peers_cut = True
+    last = world.schedulers["s1"]
+    last.log_cut = last.peers_cut = True
     world.advance(60.0)
     assert list(world.ledger().expelled) == ["s1"]
     world.kill("s2")
     world.heal()
-    lonely.core.submit(job("after"), world.now)
+    last.core.submit(job("after"), world.now)
     world.advance(120.0)
     assert _settled(world, "after")
 
 
 def test_lost_submission_is_appended_again() -> None:
-    """Found by a process test: what was handed in during an outage never landed."""
+    """Check that a job submitted during a log outage runs after the outage.
+
+    Its submission was once never appended. Found by a process test.
+    """
     world = World(schedulers=1)
     world.advance(4.0)
     world.log.faults.down = True
@@ -48,9 +58,11 @@
     assert _settled(world, "late")
 
 
-def test_stale_fold_acknowledges_nothing() -> None:
-    """Found by the hall machine: an end was acknowledged by a scheduler that had not
-    read the placement, the worker forgot it, and the attempt counted as never begun.
+def test_scheduler_with_stale_state_acknowledges_no_end() -> None:
+    """Check that a scheduler acknowledges no end of a placement that it has not read.
+
+    Such an end was once acknowledged. The worker then discarded it, and the attempt counted as
+    never started. Found by the state machine of a hall.
     """
     built = LedgerBuilder().with_worker()
     built.apply(Joined("s1"))
@@ -66,8 +78,8 @@
     assert core.step(12.0).exchanges["w1"].acknowledged == (run,)
 
 
-def test_leaving_worker_gets_nothing_new_and_is_emptied() -> None:
-    """Watchers move away, batch work ends by itself, what did not begin goes elsewhere."""
+def test_leaving_worker_gets_no_new_tasks_and_is_drained() -> None:
+    """Check that watchers move away, batch tasks run to their end, and new tasks go elsewhere."""
     world = World(seed=1, workers=2, schedulers=1)
     world.advance(4.0)
     core = world.schedulers["s1"].core
@@ -87,8 +99,11 @@
     assert begun and not world.workers[0].runs
 
 
-def test_wave_of_submissions_and_cancellations_is_cheap() -> None:
-    """Thousands of jobs, all cancelled twice and out of order, some before they arrive."""
+def test_many_submissions_and_cancellations_take_few_appends() -> None:
+    """Check the number of appends for thousands of submitted and cancelled jobs.
+
+    All jobs are cancelled twice and out of order, some of them before their submission.
+    """
     world = World(schedulers=2, workers=1)
     world.advance(4.0)
     names = [f"j{n}" for n in range(3_000)]
@@ -111,23 +126,30 @@
     assert world.log.appends - before <= 60
 
 
-def _isolated_with_its_worker(small_hall: bool) -> World:
-    """Return a hall whose watcher runs on w0, which only the cut-off s1 reaches."""
+def _hall_with_isolated_scheduler(small_hall: bool) -> World:
+    """Return a hall whose watcher runs on w0.
+
+    Only the scheduler s1 reaches w0, and s1 reaches neither the log nor its peer.
+    """
     world = World(seed=int(small_hall), workers=2, schedulers=2)
     world.advance(4.0)
     world.schedulers["s1"].core.submit(watcher(), world.now)
     world.advance(6.0)
     assert [worker for worker, _ in world.witness.running.values()] == ["w0"]
-    alone, other = world.schedulers["s1"], world.schedulers["s2"]
-    alone.log_cut = alone.peers_cut = True
+    isolated, other = world.schedulers["s1"], world.schedulers["s2"]
+    isolated.log_cut = isolated.peers_cut = True
     other.workers_cut = {"w0"}
     return world
 
 
 @pytest.mark.parametrize("small_hall", [False, True])
-def test_scheduler_that_cannot_be_asked_is_waited_out(small_hall: bool) -> None:
-    """It renews what nobody else reaches, until its fold is too old; then it moves."""
-    world = _isolated_with_its_worker(small_hall)
+def test_watcher_of_an_unreachable_scheduler_moves_after_its_lease(small_hall: bool) -> None:
+    """Check that a watcher moves only after its unreachable scheduler has stopped renewing it.
+
+    That scheduler renews the lease until its own state is too old. The others have recalled the
+    watcher by then, but start it elsewhere only when the lease must have expired.
+    """
+    world = _hall_with_isolated_scheduler(small_hall)
     world.advance(40.0)
     assert list(world.ledger().recalled)
     assert [worker for worker, _ in world.witness.running.values()] == ["w0"]
@@ -137,7 +159,11 @@
 
 
 def test_confirmed_recall_waits_for_one_lease_only() -> None:
-    """All schedulers answer, the worker does not: it moves well before the long limit."""
+    """Check that a watcher moves early if all schedulers confirm the recall.
+
+    Its worker does not answer. One lease then suffices, well before the limit that applies while
+    a scheduler does not answer.
+    """
     world = World(seed=1, workers=2, schedulers=2)
     world.advance(4.0)
     world.schedulers["s1"].core.submit(watcher(), world.now)
@@ -148,9 +174,11 @@
     assert world.witness.violations == []
 
 
-def test_a_scheduler_that_starts_renews_at_once_what_a_dead_one_placed() -> None:
-    """Found by a process test: a peer that was never heard of counted as alive for the
-    time of a silence, so workers that were its to renew lost their leases meanwhile.
+def test_a_starting_scheduler_renews_workers_of_a_dead_one_at_once() -> None:
+    """Check that a peer counts as dead if the starting scheduler has never heard from it.
+
+    Such a peer once counted as alive for the time limit on silence, so the workers that it should
+    have renewed lost their leases meanwhile. Found by a process test.
     """
     dead = "s1"
     names = (f"s{number}" for number in range(2, 100))
@@ -169,11 +197,12 @@
 
 
 def test_tasks_are_placed_while_the_log_is_quiet() -> None:
-    """Seen in a process test beside load: a first job was not placed for 45 s.
+    """Check that the state of a scheduler counts as fresh although nobody appends to the log.
 
-    Its scheduler led, knew the workers and read the log. The first pass came before it had
-    heard of the workers, and after that nobody wrote. A reading that waits as long as what
-    was read counts as fresh leaves a fold that is never fresh when it returns.
+    In a process test on a busy machine, a first job was not placed for 45 s. Its scheduler was the
+    leader, knew the workers and read the log. The first placement pass came before the workers'
+    first reports, and nothing was appended afterwards. If a log read may wait as long as its
+    result counts as fresh, the state is never fresh when the read returns.
     """
     built = LedgerBuilder().with_worker().with_job()
     built.apply(Joined("s1"))
@@ -184,7 +213,7 @@
     for tick in range(160):
         now = 0.25 * tick
         if now % LOG_READ_WAIT_S == 0:
-            core.on_records([], now, end=end, read_started=now - LOG_READ_WAIT_S - ANSWER_S)
+            core.on_records([], now, end=end, read_started=now - LOG_READ_WAIT_S - LOG_ANSWER_S)
         if now >= 10.0:
             core.on_report(WorkerReport(worker(), now), started=now)
         record = core.step(now).record
--- a/tests/scheduler/test_hall_machine.py
+++ b/tests/scheduler/test_hall_machine.py
@@ -1,4 +1,9 @@
-"""A hall under faults at any moment: what must always hold, holds."""
+"""State machine of a hall: invariants of its schedulers and workers under faults at any moment.
+
+Guards against a task that runs twice at the same time, a worker with more tasks than it has
+capacity for, a task that must not be repeated but starts twice, and schedulers whose ledgers
+differ at the same offset. Once all faults are over, every job must end with counts that add up.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +54,7 @@
     @precondition(lambda self: self.watchers < 3)
     @rule()
     def submit_watcher(self) -> None:
-        # More would rightly leave no worker with room for the larger tasks.
+        # With more watchers, no worker would have capacity for the larger tasks.
         self.watchers += 1
         self._submit(watcher(f"j{len(self.specs)}"))
 
--- a/tests/scheduler/test_rescue.py
+++ b/tests/scheduler/test_takeover.py
@@ -1,4 +1,8 @@
-"""A lost hall's queue moves once, whatever that hall still does meanwhile."""
+"""Takeover of a lost hall's queue by another hall.
+
+Guards against a task that is placed in both halls, which could come about when the lost hall still
+places, evicts and hands over tasks while the other hall takes them over.
+"""
 
 from __future__ import annotations
 
@@ -62,13 +66,13 @@
     assert all(seen == sorted(set(seen)) for seen in attempts.values())
 
 
-def test_moved_tasks_resume_where_they_stood() -> None:
+def test_moved_tasks_resume_from_their_checkpoints() -> None:
     lost, own = LedgerBuilder("lost").with_worker(), LedgerBuilder("own").with_worker()
     lost.with_job(job("a", count=3), job("s", priority=Priority.SERVICE))
     lost.apply(Placed(AttemptId(1, 0, 1), 1), Placed(AttemptId(1, 1, 1), 1))
     lost.apply(Evicted(AttemptId(1, 0, 1), "half", True))
-    (handed,) = handovers(lost.ledger, "own")
-    assert lost.apply(handed, handed) == [ApplyResult.APPLIED, ApplyResult.WRONG_STATE]
+    (handover,) = handovers(lost.ledger, "own")
+    assert lost.apply(handover, handover) == [ApplyResult.APPLIED, ApplyResult.WRONG_STATE]
     assert lost.ledger.jobs[1].counts() == JobCounts(0, 1, 0, 0, 0, 0, 0, moved=2)
     own.apply(*takeovers(lost.ledger, own.ledger))
     assert list(takeovers(lost.ledger, own.ledger)) == []
@@ -79,7 +83,7 @@
     assert own.apply(Placed(AttemptId(1, 0, 2), 1)) == [ApplyResult.APPLIED]
 
 
-def test_cancellation_that_came_first_holds_for_what_is_taken_over() -> None:
+def test_earlier_cancellation_applies_to_a_job_taken_over() -> None:
     lost, own = LedgerBuilder("lost"), LedgerBuilder("own")
     lost.with_job(job("a", count=2))
     lost.apply(*handovers(lost.ledger, "own"))
@@ -88,5 +92,5 @@
     assert own.apply(Submitted(job("a", count=2))) == [ApplyResult.CANCELLED]
 
 
-def test_one_hall_looks_after_a_lost_one() -> None:
+def test_one_hall_takes_over_a_lost_one() -> None:
     assert takeover_hall("lost", ["a", "b"]) == takeover_hall("lost", ["b", "a"])
