--- a/tests/ledger/test_codec.py
+++ b/tests/ledger/test_codec.py
@@ -1,4 +1,8 @@
-"""Records survive the log's bytes; rubbish does not get in."""
+"""Encoding of ledger records: round trips, sizes, and rejection of malformed bytes.
+
+Guards against a record that is read as another one than was written, and against bytes that raise
+anything but a typed error.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +73,7 @@
         assert isinstance(decode(body), Record)
 
 
-def test_placements_take_few_bytes() -> None:
+def test_placements_are_encoded_in_few_bytes() -> None:
     placed = tuple(Placed(AttemptId(70_000, n, 1), 100 + n % 50) for n in range(20))
     body = encode(Record("10.0.0.7:7000#0011aabb", 4_711, 123_456, placed))
     assert len(body) / 20 <= 11
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -1,4 +1,8 @@
-"""The fold, rule by rule."""
+"""The ledger: how each kind of record changes jobs, tasks and workers, and what it refuses.
+
+Guards against a task that is placed twice, counted twice or lost, and against a ledger restored
+from a snapshot that differs from one that read the whole stream.
+"""
 
 from __future__ import annotations
 
@@ -57,14 +61,14 @@
     assert built.apply(Placed(AttemptId(1, 5, 1), 1)) == [ApplyResult.UNKNOWN]
 
 
-def test_placement_must_fit_what_is_left() -> None:
+def test_placement_must_fit_the_free_capacity() -> None:
     built = LedgerBuilder().with_worker(worker(cores=3)).with_job(job(count=5))
-    verdicts = built.apply(*(Placed(AttemptId(1, n, 1), 1) for n in range(5)))
-    assert verdicts == [ApplyResult.APPLIED] * 3 + [ApplyResult.NO_ROOM] * 2
+    results = built.apply(*(Placed(AttemptId(1, n, 1), 1) for n in range(5)))
+    assert results == [ApplyResult.APPLIED] * 3 + [ApplyResult.NO_ROOM] * 2
     assert built.ledger.workers[1].room == Resources(0, 0, 0)
 
 
-def test_resized_job_reserves_its_new_size_from_then_on() -> None:
+def test_resized_job_reserves_its_new_size_for_later_placements() -> None:
     built = LedgerBuilder().with_worker().with_job(job(count=2))
     built.apply(Placed(A1, 1), Resized(1, Resources(3_000, 1_000)), Placed(AttemptId(1, 1, 1), 1))
     assert built.ledger.workers[1].used == Resources(4_000, 2_000)
@@ -79,7 +83,7 @@
     assert built.apply(Submitted(job()), read_offset=0) == [ApplyResult.LATE]
 
 
-def test_cancel_before_arrival_keeps_the_job_out() -> None:
+def test_cancel_before_submission_refuses_the_job() -> None:
     built = LedgerBuilder()
     built.apply(Cancelled("job"))
     assert built.apply(Submitted(job())) == [ApplyResult.CANCELLED]
@@ -94,7 +98,7 @@
     assert built.ledger.finished["job"].counts == JobCounts(0, 0, 0, 0, 3, 2, 0)
 
 
-def test_failure_is_tried_again_a_bounded_number_of_times() -> None:
+def test_failed_task_is_retried_a_bounded_number_of_times() -> None:
     built = LedgerBuilder().with_worker().with_job()
     for attempt in range(1, MAX_FAILURES + 1):
         built.apply(Placed(AttemptId(1, 0, attempt), 1))
@@ -102,7 +106,7 @@
     assert built.ledger.finished["job"].counts.failed == 1
 
 
-def test_watcher_starts_again_only_after_its_end() -> None:
+def test_watcher_restarts_only_after_its_end() -> None:
     built = LedgerBuilder().with_worker().with_job(watcher())
     built.apply(Placed(A1, 1))
     assert built.apply(Placed(A2, 1)) == [ApplyResult.WRONG_STATE]
@@ -121,7 +125,7 @@
     ]
 
 
-def test_recalled_attempt_needs_a_proof() -> None:
+def test_recalled_attempt_is_replaced_only_after_its_proven_end() -> None:
     built = _placed()
     assert built.apply(Lapsed(A1)) == [ApplyResult.WRONG_STATE]
     assert built.apply(Recalled(A1)) == [ApplyResult.APPLIED]
@@ -130,7 +134,7 @@
     assert built.apply(Placed(A2, 1)) == [ApplyResult.APPLIED]
 
 
-def test_unproven_end_of_what_must_not_repeat_is_lost_not_repeated() -> None:
+def test_non_repeatable_task_with_an_unproven_end_counts_as_lost() -> None:
     built = _placed(repeatable=False)
     built.apply(Recalled(A1), Lapsed(A1))
     assert built.ledger.finished["job"].counts.lost == 1
@@ -142,7 +146,7 @@
     assert built.ledger.jobs[1].states[0] == TaskState.QUEUED
 
 
-def test_new_incarnation_proves_the_end_of_what_ran() -> None:
+def test_new_incarnation_of_a_worker_proves_the_end_of_its_attempts() -> None:
     built = _placed()
     assert built.apply(WorkerSeen(worker(incarnation=2))) == [ApplyResult.APPLIED]
     assert built.ledger.placements == {}
@@ -242,7 +246,7 @@
     assert recovery.ledger.next_offset == 5
 
 
-def test_recovery_leaves_out_a_snapshot_whose_tail_is_gone() -> None:
+def test_recovery_ignores_a_snapshot_whose_following_records_are_trimmed() -> None:
     (part,) = snapshot_parts(LedgerBuilder().with_worker().ledger)
     recovery = Recovery("rennes-a", first=5)
     recovery.feed([(5, Record("s", 0, 1, (part,)))])
