--- a/tests/placement/test_learning.py
+++ b/tests/placement/test_learning.py
@@ -1,4 +1,9 @@
-"""What is learnt of sizes, interference, bad workers and room for urgent work."""
+"""Models that placement learns, and what it decides by them.
+
+These are the interference of batch tasks with services, the guard that throttles and evicts,
+the sizes of tasks, the quarantine of workers, and the preemption of batch tasks for urgent ones.
+Guards against effects attributed to the wrong tasks, and against measures that hit too many.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +25,7 @@
 EFFECTS = {"merge": 0.2, "plan": 0.01, "index": 0.06}
 
 
-def _taught(noise: float = 0.03, count: int = 600, surge: float = 1.0) -> InterferenceModel:
+def _trained_model(noise: float = 0.03, count: int = 600, surge: float = 1.0) -> InterferenceModel:
     model, draw = InterferenceModel(), random.Random(7)
     for _ in range(count):
         load = draw.uniform(0.2, 0.9)
@@ -31,8 +36,8 @@
     return model
 
 
-def test_effects_are_told_apart_and_grow_with_load() -> None:
-    model = _taught()
+def test_effects_of_kinds_are_separated_and_grow_with_load() -> None:
+    model = _trained_model()
     for load in (0.35, 0.7):
         for kind, effect in EFFECTS.items():
             found = model.effect("finder", load, kind).mean * model.surge("finder")
@@ -41,18 +46,18 @@
 
 
 def test_unseen_pair_has_a_small_prior() -> None:
-    effect = _taught().effect("finder", 0.5, "new")
+    effect = _trained_model().effect("finder", 0.5, "new")
     assert (effect.mean, effect.samples) == (PRIOR_EFFECT, 0.0)
 
 
-def test_surge_is_followed_quickly() -> None:
-    model = _taught()
+def test_model_follows_a_surge_quickly() -> None:
+    model = _trained_model()
     for _ in range(60):
         model.learn("finder", 0.5, {"merge": 2}, 0.55 + 1.5 * 0.4)
     assert model.predict("finder", 0.5, {"merge": 2}) == pytest.approx(1.15, abs=0.1)
 
 
-def test_late_measurement_is_laid_to_what_ran_then() -> None:
+def test_late_measurement_is_attributed_to_the_tasks_of_its_time() -> None:
     colocation = Colocation(explores=False)
     quiet, noisy = [], [BatchState("t1", "merge", 0.0, False)]
     for n in range(40):
@@ -60,8 +65,8 @@
         colocation.record_tasks("w", start, {"s": "finder"}, noisy if n % 2 else quiet)
         colocation.record_measurement("w", "s", 0.5, 0.9 if n % 2 else 0.5, start + 1.0)
         if n > 2:
-            history_says = start - 39.0
-            colocation.record_measurement("w", "s", 0.5, 0.5 if n % 2 else 0.9, history_says)
+            measured_at = start - 39.0
+            colocation.record_measurement("w", "s", 0.5, 0.5 if n % 2 else 0.9, measured_at)
     assert colocation.model.effect("finder", 0.5, "merge").mean > 0.2
     assert colocation.model.base("finder", 0.5) < 0.65
 
@@ -79,28 +84,28 @@
 
 
 def test_guard_throttles_first_then_evicts_then_releases() -> None:
-    model = _taught(noise=0.0)
+    model = _trained_model(noise=0.0)
     guard = Guard(model, GuardWeights(limit=0.95, eviction_cost=30.0, patience_s=30.0))
     batch = [BatchState(n, "merge", 0.0, False) for n in range(2)]
     hot = [ServiceState("finder", 0.7, 1.2, 100.0)]
     first = guard.decide(hot, batch, 100.0)
     assert [(a.measure, a.key) for a in first] == [(Measure.THROTTLE, 0), (Measure.THROTTLE, 1)]
-    held = [task._replace(throttled=True) for task in batch]
-    still = [ServiceState("finder", 0.9, 1.1, 120.0)]
-    assert guard.decide(still, held, 120.0) == []
-    later = guard.decide(still, held, 131.0)
+    throttled = [task._replace(throttled=True) for task in batch]
+    still_hot = [ServiceState("finder", 0.9, 1.1, 120.0)]
+    assert guard.decide(still_hot, throttled, 120.0) == []
+    later = guard.decide(still_hot, throttled, 131.0)
     assert [(a.measure, a.key) for a in later] == [(Measure.EVICT, 0)]
     calm = [ServiceState("finder", 0.1, 0.5, 200.0)]
-    freed = guard.decide(calm, held[1:], 200.0)
-    assert [(a.measure, a.key) for a in freed] == [(Measure.RELEASE, 1)]
+    released = guard.decide(calm, throttled[1:], 200.0)
+    assert [(a.measure, a.key) for a in released] == [(Measure.RELEASE, 1)]
 
 
-def test_guard_leaves_batch_alone_that_does_no_harm() -> None:
+def test_guard_takes_no_measure_without_batch_tasks() -> None:
     guard = Guard(InterferenceModel())
     assert guard.decide([ServiceState("finder", 0.5, 0.6, 1.0)], [], 1.0) == []
 
 
-def test_history_keeps_company_by_time() -> None:
+def test_history_returns_the_colocated_tasks_of_a_time() -> None:
     history = ColocationHistory()
     history.note(1.0, {"a": 1.0})
     history.note(2.0, {"a": 1.0})
@@ -109,7 +114,7 @@
     assert history.changed == 3.0
 
 
-def test_size_is_never_less_than_declared_nor_than_learnt() -> None:
+def test_size_is_never_less_than_declared_nor_than_learned() -> None:
     sizes = SizeModel()
     declared = Resources(1_000, 4_000)
     assert sizes.needed("merge", declared) == declared
@@ -117,24 +122,26 @@
     assert sizes.needed("merge", declared) == Resources(3_000, 4_000)
 
 
-def _ends(quarantine: Quarantine, bad_worker: str = "", bad_kind: str = "") -> set[str]:
-    held: set[str] = set()
+def _quarantined_workers(
+    quarantine: Quarantine, bad_worker: str = "", bad_kind: str = ""
+) -> set[str]:
+    quarantined: set[str] = set()
     for n in range(200):
         kind, worker = f"k{n % 5}", f"w{n % 8}"
         failed = worker == bad_worker or kind == bad_kind
         if quarantine.note(End(kind, worker, failed), float(n), 8):
-            held.add(worker)
-    return held
+            quarantined.add(worker)
+    return quarantined
 
 
-def test_bad_worker_is_held_and_bad_job_holds_nobody() -> None:
-    assert _ends(Quarantine(), bad_worker="w3") == {"w3"}
+def test_bad_worker_is_quarantined_but_no_worker_for_a_bad_job() -> None:
+    assert _quarantined_workers(Quarantine(), bad_worker="w3") == {"w3"}
     bad = Quarantine()
-    assert _ends(bad, bad_kind="k2") == set()
+    assert _quarantined_workers(bad, bad_kind="k2") == set()
     assert bad.fails_everywhere("k2") and not bad.fails_everywhere("k1")
 
 
-def test_quarantine_is_bounded_and_longer_each_time() -> None:
+def test_quarantine_is_bounded_in_workers_and_time() -> None:
     quarantine = Quarantine()
     now = 0.0
     for n in range(400):
--- a/tests/placement/test_placer.py
+++ b/tests/placement/test_placer.py
@@ -1,4 +1,8 @@
-"""One placement pass, and the learning placer on a ledger."""
+"""One placement pass over a ledger, and the placer that learns from reports.
+
+Guards against placements that exceed a worker's capacity or a team's quota, that break a rule on
+colocation, or that ignore placements and interference which the ledger does not show yet.
+"""
 
 from __future__ import annotations
 
@@ -58,7 +62,7 @@
     return placer.last.obstacles.get(1)
 
 
-def test_reasons_for_waiting() -> None:
+def test_waiting_jobs_name_their_obstacle() -> None:
     assert _obstacle(job(selector="rack=b")) is Obstacle.SELECTOR
     assert _obstacle(job(size=Resources(9_000, 1))) is Obstacle.TOO_LARGE
     assert _obstacle(job(count=3)) is Obstacle.NO_ROOM
@@ -66,7 +70,7 @@
     assert _obstacle(job(count=2)) is None
 
 
-def test_company_rule_holds_in_both_directions() -> None:
+def test_colocation_rule_holds_in_both_directions() -> None:
     rules = PlacementRules({}, ((parse_selector("tier=quiet"), parse_selector("tier=noisy")),))
     for first, second in (("quiet", "noisy"), ("noisy", "quiet")):
         built = LedgerBuilder().with_worker()
@@ -76,13 +80,13 @@
         assert placer.last.obstacles == {2: Obstacle.COMPANY}
 
 
-def test_placements_on_the_way_keep_their_room() -> None:
+def test_pending_placements_keep_their_capacity() -> None:
     built = LedgerBuilder().with_worker(worker(cores=1)).with_job(job(count=2))
-    on_the_way = [Placed(AttemptId(1, 0, 1), 1)]
-    assert list(PolicyPlacer().place(built.ledger, [1], on_the_way, 0.0)) == []
+    pending = [Placed(AttemptId(1, 0, 1), 1)]
+    assert list(PolicyPlacer().place(built.ledger, [1], pending, 0.0)) == []
 
 
-def test_urgent_goes_before_batch_and_small_users_before_large() -> None:
+def test_urgent_tasks_go_before_batch_tasks_and_then_by_submission() -> None:
     built = LedgerBuilder().with_worker(worker(cores=2))
     built.with_job(job("old"), job("new", team="maps"), job("now", priority=Priority.URGENT))
     built.apply(Placed(AttemptId(1, 0, 1), 1), Evicted(AttemptId(1, 0, 1), "", True))
@@ -90,7 +94,7 @@
     assert [task.job for task, _ in placed] == [3, 1]
 
 
-def test_urgent_work_gets_room_by_recall() -> None:
+def test_urgent_task_gets_capacity_by_a_recall() -> None:
     built = LedgerBuilder().with_worker(worker(cores=2))
     built.with_job(job("batch", count=2), job("now", priority=Priority.URGENT))
     built.apply(Placed(AttemptId(1, 0, 1), 1), Placed(AttemptId(1, 1, 1), 1))
@@ -104,8 +108,8 @@
     assert list(placer.place(built.ledger, [1], (), 2.0)) == [(TaskId(2, 0), 1)]
 
 
-def test_one_pass_reckons_with_what_it_placed_itself() -> None:
-    """Not only with what the last report had running."""
+def test_one_pass_counts_the_interference_of_its_own_placements() -> None:
+    """Check that a pass adds its own placements to the tasks of the last report."""
     built = LedgerBuilder().with_worker(worker(cores=20))
     built.with_job(job("svc", kind="finder", priority=Priority.SERVICE), job("b", count=10))
     built.apply(Placed(AttemptId(1, 0, 1), 1))
@@ -120,7 +124,7 @@
     assert 1 <= len(placed) <= 3
 
 
-def test_learnt_size_is_reserved_from_then_on() -> None:
+def test_learned_size_is_reserved_for_later_placements() -> None:
     built = LedgerBuilder().with_worker().with_job(job(count=2))
     built.apply(Placed(AttemptId(1, 0, 1), 1))
     placer = LearnedPlacer()
@@ -131,7 +135,7 @@
     assert list(placer.resizes(built.ledger)) == [Resized(1, Resources(2_500, 1_000))]
 
 
-def test_worker_that_fails_everything_gets_nothing_new() -> None:
+def test_worker_on_which_all_tasks_fail_gets_no_new_tasks() -> None:
     built = LedgerBuilder().with_worker(worker("bad"), worker("good")).with_job(job())
     placer = LearnedPlacer()
     for n in range(12):
