--- a/tests/peer/test_peer.py
+++ b/tests/peer/test_peer.py
@@ -1,4 +1,8 @@
-"""The inner protocol: bytes, frames, links and who is alive."""
+"""The protocol between hosts: message encoding, frames, links, and the directory of live peers.
+
+Guards against malformed bytes that raise anything but a typed error, and against connections that
+went silent without being closed: on one side they lose messages, on the other they pile up.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,7 @@
 
 TEXT = st.text(max_size=20)
 NUMBER = st.integers(0, 2**32 - 1)
-BEATS = st.builds(
+HEARTBEATS = st.builds(
     Heartbeat,
     TEXT,
     TEXT,
@@ -53,7 +57,7 @@
     st.lists(TEXT, max_size=3).map(tuple),
 )
 MESSAGES = st.one_of(
-    BEATS,
+    HEARTBEATS,
     st.builds(Submit, st.builds(job, TEXT)),
     st.builds(Cancel, TEXT),
     st.builds(Ask, TEXT),
@@ -69,7 +73,7 @@
     assert decode(encode(Envelope(request, message))) == Envelope(request, message)
 
 
-def test_configuration_travels_whole() -> None:
+def test_configuration_round_trips_completely() -> None:
     state = ConfigState(7, {"quotas/maps": {"milli_cpu": 1}}, {"quotas/maps": 7}, {"c1": 7})
     answer = decode(encode(Envelope(1, ConfigAnswer(state)))).message
     assert isinstance(answer, ConfigAnswer)
@@ -93,7 +97,7 @@
 
 
 @pytest.mark.parametrize(("sent", "problem"), FRAMES)
-async def test_bad_frames(sent: bytes, problem: str) -> None:
+async def test_malformed_frame_raises(sent: bytes, problem: str) -> None:
     reader = asyncio.StreamReader()
     reader.feed_data(sent)
     reader.feed_eof()
@@ -101,13 +105,13 @@
         await read_frame(reader)
 
 
-async def test_clean_end_is_no_frame() -> None:
+async def test_end_of_stream_between_frames_reads_as_none() -> None:
     reader = asyncio.StreamReader()
     reader.feed_eof()
     assert await read_frame(reader) is None
 
 
-async def test_answers_meet_their_requests_in_any_order() -> None:
+async def test_answers_match_their_requests_in_any_order() -> None:
     async def answer(message: Message) -> Message:
         assert isinstance(message, Ask)
         await asyncio.sleep(0.02 if message.job_id == "slow" else 0)
@@ -115,13 +119,13 @@
 
     server = PeerServer(answer)
     link = PeerLink(await server.start("127.0.0.1", 0))
-    asked = [link.ask(Ask(job_id), timeout_s=5) for job_id in ("slow", "fast")]
-    assert await asyncio.gather(*asked) == [Answer("slow"), Answer("fast")]
+    requests = [link.ask(Ask(job_id), timeout_s=5) for job_id in ("slow", "fast")]
+    assert await asyncio.gather(*requests) == [Answer("slow"), Answer("fast")]
     await link.close()
     await server.stop()
 
 
-async def test_silent_and_absent_peers_are_told_apart() -> None:
+async def test_silent_and_absent_peers_raise_different_errors() -> None:
     async def never(message: Message) -> Message | None:
         return None
 
@@ -136,7 +140,7 @@
         await link.ask(Ask("a"), timeout_s=1)
 
 
-async def test_a_link_that_went_silent_costs_one_question() -> None:
+async def test_a_link_that_went_silent_fails_one_request() -> None:
     async def answer(message: Message) -> Message:
         assert isinstance(message, Ask)
         return Answer(message.job_id)
@@ -155,33 +159,33 @@
     await server.stop()
 
 
-async def test_a_link_that_only_tells_is_opened_anew_in_time(
+async def test_a_link_without_answers_is_reopened_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Heartbeats get no answer that would show whether they arrive."""
+    """Check that a link for heartbeats reopens: no answer shows whether they arrive."""
     monkeypatch.setattr(peer_link, "MAX_IDLE_S", 0.2)
-    heard = asyncio.Event()
+    received = asyncio.Event()
 
-    async def hear(message: Message) -> None:
-        heard.set()
+    async def receive(message: Message) -> None:
+        received.set()
 
-    server = PeerServer(hear)
+    server = PeerServer(receive)
     proxy = FaultProxy(await server.start("127.0.0.1", 0))
     async with proxy.serve() as address:
         link = PeerLink(address)
         await link.send(Ask("a"))
-        await asyncio.wait_for(heard.wait(), 5)
+        await asyncio.wait_for(received.wait(), 5)
         proxy.silence()
-        heard.clear()
+        received.clear()
         async with asyncio.timeout(5):
-            while not heard.is_set():
+            while not received.is_set():
                 await link.send(Ask("b"))
                 await asyncio.sleep(0.05)
         await link.close()
     await server.stop()
 
 
-def test_directory_orders_and_forgets() -> None:
+def test_directory_orders_peers_and_removes_silent_ones() -> None:
     directory = PeerDirectory(silence_s=3.0, forget_s=10.0)
     directory.record_heartbeat(Heartbeat("a", "scheduler", "h1", "x:1", config=5), 0.0)
     directory.record_heartbeat(Heartbeat("b", "scheduler", "h1", "x:2", draining=True), 2.0)
@@ -193,13 +197,13 @@
 
 
 async def test_a_connection_that_went_silent_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Those that the other side has given up would fill the server in the end."""
+    """Check that abandoned connections are closed, as they would pile up in the server."""
     monkeypatch.setattr(peer_server, "MAX_SILENCE_S", 0.2)
 
-    async def hear(message: Message) -> None:
+    async def receive(message: Message) -> None:
         return None
 
-    server = PeerServer(hear)
+    server = PeerServer(receive)
     host, _, port = (await server.start("127.0.0.1", 0)).rpartition(":")
     for sent in (b"", b"\x01\x00"):
         reader, writer = await asyncio.open_connection(host, int(port))
