--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -1,4 +1,4 @@
-"""Small fleets for the process tests."""
+"""Fixtures: small fleets of processes for one test each."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def publish_basics(fleet: Fleet, **service: Any) -> None:
-    """Publish the hall and the service, and wait for all daemons."""
+    """Publish the settings of the hall and the service, and wait until all daemons are ready."""
     gateway = next(d for d in fleet.daemons.values() if d.callers)
     config = {"customer": "borne-breizh", "deadline_ms": 3_000, **service}
     values = {f"services/{SERVICE}": config, f"halls/{HALL}": {"region": "breizh"}}
--- a/tests/process/test_halls.py
+++ b/tests/process/test_halls.py
@@ -1,4 +1,9 @@
-"""Halls that are cut off from the platform, configuration on its way, urgent work, the CLI."""
+"""Several halls and their faults, spread of configuration, urgent work, snapshots, and the CLI.
+
+Guards against a hall that stops serving or renewing while it is cut off from the platform, a lost
+hall whose queued tasks never run or run twice, and a scheduler that loses running tasks because
+it recovers from a snapshot.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +22,18 @@
 
 
 async def _two_halls(fleet: Fleet) -> Daemon:
-    """Start a hall beside one whose daemons reach the platform through a relay."""
+    """Start two halls; the daemons of the second one reach the platform through a relay.
+
+    Returns:
+        The gateway of the second hall.
+    """
     relay = await fleet.add_relay()
-    for hall, way in ((HALL, fleet.platform), (FAR, relay)):
+    for hall, platform in ((HALL, fleet.platform), (FAR, relay)):
         await asyncio.gather(
             fleet.add_workers(hall, 2, run_s=1.0),
             fleet.add_executors(hall, SERVICE, 1, service_s=0.01),
-            fleet.add_daemon("scheduler", hall, f"{hall}-s", log=way, hosts=way),
-            fleet.add_daemon("gateway", hall, f"{hall}-g", log=way, hosts=way),
+            fleet.add_daemon("scheduler", hall, f"{hall}-s", log=platform, hosts=platform),
+            fleet.add_daemon("gateway", hall, f"{hall}-g", log=platform, hosts=platform),
         )
     values: dict[str, Any] = {f"halls/{hall}": {"region": "breizh"} for hall in (HALL, FAR)}
     values[f"services/{SERVICE}"] = {"customer": "borne-breizh"}
@@ -34,7 +43,7 @@
 
 
 async def _publish_everywhere(fleet: Fleet, quota: int) -> float:
-    """Publish, and return the seconds until it is in force on every gateway."""
+    """Publish a quota, and return the seconds until it is in force on every gateway."""
     started = time.monotonic()
     values = {"quotas/maps": {"milli_cpu": quota, "memory_mb": 1}}
     version = await fleet.publish(fleet.daemons[f"{HALL}-g"], values, f"quota-{quota}")
@@ -48,7 +57,7 @@
     return time.monotonic() - started
 
 
-async def test_cut_off_hall_serves_renews_and_hears_of_configuration() -> None:
+async def test_cut_off_hall_serves_renews_and_receives_configuration() -> None:
     async with Fleet() as fleet:
         far = await _two_halls(fleet)
         near = fleet.daemons[f"{HALL}-g"]
@@ -80,8 +89,11 @@
         assert healthy < 8.0 and cut < 8.0
 
 
-async def test_other_halls_serve_when_the_own_one_cannot() -> None:
-    """Also what must not be repeated goes out once, claimed by the hall that sends it."""
+async def test_requests_are_forwarded_to_a_hall_with_executors() -> None:
+    """Check that requests are forwarded to a hall with executors, and never forwarded twice.
+
+    A request that must not be repeated is also sent only once: the sending hall claims its key.
+    """
     async with Fleet() as fleet:
         await asyncio.gather(
             fleet.add_executors(HALL, SERVICE, 1, service_s=0.01),
@@ -104,7 +116,7 @@
 
 
 async def _placed_in(fleet: Fleet, hall: str) -> set[str]:
-    """Return the tasks that a hall's ledger has placed, as the log tells it."""
+    """Return the tasks that are placed according to a hall's ledger stream."""
     page = await fleet.get(fleet.platform, f"/streams/ledger-{hall}?from=0&wait=0")
     ledger = Ledger(hall)
     for offset, body in page["entries"]:
@@ -112,8 +124,8 @@
     return {f"{ledger.jobs[t.job].spec.job_id}/{t.index}" for t in ledger.placements}
 
 
-async def test_queue_of_a_lost_hall_is_taken_up() -> None:
-    """Its schedulers die; what was queued runs elsewhere, each task once."""
+async def test_queue_of_a_lost_hall_is_taken_over() -> None:
+    """Check that the queued tasks of a hall without schedulers run elsewhere, each one once."""
     async with Fleet() as fleet:
         await asyncio.gather(
             fleet.add_workers(HALL, 2, run_s=0.5),
@@ -144,7 +156,7 @@
         assert all(count == 1 for count in seen["completed"].values())
 
 
-async def test_racing_operators_one_wins(jobs_fleet: Fleet) -> None:
+async def test_one_of_several_racing_changes_wins(jobs_fleet: Fleet) -> None:
     fleet = jobs_fleet
     gateway = fleet.daemons["g1"]
     base = (await fleet.get(gateway.operator, "/config"))["version"]
@@ -160,7 +172,7 @@
     assert all(a["conflicts"] == ["quotas/t"] for status, a in answers if status == 409)
 
 
-async def test_urgent_work_starts_in_time_on_full_workers() -> None:
+async def test_urgent_task_starts_in_time_on_full_workers() -> None:
     async with Fleet() as fleet:
         await fleet.add_workers(HALL, 2, run_s=60.0)
         await fleet.add_daemon("scheduler", HALL, "s1")
@@ -186,11 +198,15 @@
 
 
 async def test_restarted_scheduler_recovers_from_a_snapshot() -> None:
-    """The start of the stream has expired; the newest snapshot and its tail remain."""
+    """Check that a new scheduler recovers when the start of the stream is no longer stored.
+
+    Only the newest snapshot and the records after it remain.
+    """
     async with Fleet() as fleet:
         await fleet.add_workers(HALL, 2, run_s=0.3)
-        # A lease outlasts the start of a process, which takes 5.5 s beside 20 busy ones on
-        # 4 cores; how soon a new scheduler renews is bounded in tests/scheduler/test_core.py.
+        # The lease is longer than the start of a process, which takes 5.5 s while 20 busy
+        # processes share 4 cores. tests/scheduler/test_core.py bounds how soon a new scheduler
+        # renews.
         more = {"snapshot_records": 10, "lease_s": 12.0}
         old = await fleet.add_daemon("scheduler", HALL, "s1", **more)
         await fleet.add_daemon("gateway", HALL, "g1")
@@ -221,7 +237,7 @@
     return process.returncode or 0, out.decode(), err.decode()
 
 
-async def test_command_line_tells_outcomes_apart(jobs_fleet: Fleet) -> None:
+async def test_command_line_has_an_exit_code_for_each_outcome(jobs_fleet: Fleet) -> None:
     gateway = jobs_fleet.daemons["g1"]
     operator, callers = f"--gateway={gateway.operator}", f"--gateway={gateway.callers}"
     code, out, _ = await _cli("publish", 'quotas/maps={"milli_cpu": 0}', operator)
--- a/tests/process/test_host_process.py
+++ b/tests/process/test_host_process.py
@@ -1,4 +1,7 @@
-"""A host as a process, with callers that went silent."""
+"""A planned stop of a host process while callers with open connections are silent.
+
+Guards against a host that waits for such callers until the platform kills it.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,14 @@
 from tests.standins.start_bound import within_start_bound
 
 GRACE_S = 8.0
-"""Time that the platform gives a process between SIGTERM and SIGKILL."""
+"""Time that the platform allows a process between SIGTERM and SIGKILL."""
 
-HEAD = b"GET / HTTP/1.1\r\nHost: host.example\r\n"
+REQUEST_HEAD = b"GET / HTTP/1.1\r\nHost: host.example\r\n"
 
-SILENT = {
+SENT_BEFORE_SILENCE = {
     "nothing sent": b"",
-    "half a head": HEAD,
-    "answered and then silent": HEAD + b"\r\n",
+    "half a head": REQUEST_HEAD,
+    "answered and then silent": REQUEST_HEAD + b"\r\n",
 }
 
 
@@ -68,7 +71,7 @@
         reading: asyncio.Task[None] | None = None
         try:
             await within_start_bound(process, _until_listening(process))
-            reading = asyncio.create_task(_read_on(process))
+            reading = asyncio.create_task(_discard_output(process))
             yield process, front
         finally:
             if process.returncode is None:
@@ -86,14 +89,14 @@
     raise AssertionError("host ended before it listened")
 
 
-async def _read_on(process: Process) -> None:
+async def _discard_output(process: Process) -> None:
     assert process.stdout is not None
     while await process.stdout.readline():
         pass
 
 
-@pytest.mark.parametrize("sent", SILENT.values(), ids=SILENT)
-async def test_silent_callers_do_not_hold_up_a_planned_stop(tmp_path: Path, sent: bytes) -> None:
+@pytest.mark.parametrize("sent", SENT_BEFORE_SILENCE.values(), ids=SENT_BEFORE_SILENCE)
+async def test_silent_callers_do_not_delay_a_planned_stop(tmp_path: Path, sent: bytes) -> None:
     async with _host(tmp_path) as (process, front):
         host, _, port = front.rpartition(":")
         writers = []
--- a/tests/process/test_jobs.py
+++ b/tests/process/test_jobs.py
@@ -1,4 +1,9 @@
-"""Jobs through real processes that are killed, paused and cut off."""
+"""Jobs run by scheduler, gateway and worker processes under faults.
+
+Processes are paused or stopped, workers fall silent, and the log fails or loses answers. Guards
+against a task that runs twice at the same time, is completed twice or is never run, and against
+a cancelled job that still starts.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +28,7 @@
 
 
 async def _submit(fleet: Fleet, job: dict[str, Any]) -> dict[str, Any]:
-    """Hand a job in, coming back when told that nothing was done."""
+    """Submit a job, and retry while the gateway reports that nothing was done."""
     for _ in range(20):
         status, answer = await fleet.call("POST", fleet.daemons["g1"].callers, "/jobs", job)
         if (status, answer.get("error")) != (503, "unreachable"):
@@ -45,8 +50,8 @@
     return seen
 
 
-async def test_paused_scheduler_wakes_past_its_lease(jobs_fleet: Fleet) -> None:
-    """The other takes over; what the paused one says on waking harms nothing."""
+async def test_paused_scheduler_resumes_after_its_lease_expired(jobs_fleet: Fleet) -> None:
+    """Check that the late orders of a paused scheduler do no harm after the other took over."""
     fleet = jobs_fleet
     await _submit(fleet, _job("long", 30))
     paused = fleet.daemons["s1"]
@@ -57,8 +62,8 @@
     assert set(seen["completed"].values()) == {1}
 
 
-async def test_log_outage_keeps_running_work_alive(jobs_fleet: Fleet) -> None:
-    """A watcher is renewed through an outage longer than its lease."""
+async def test_log_outage_does_not_stop_running_tasks(jobs_fleet: Fleet) -> None:
+    """Check that a watcher's lease is renewed through an outage longer than the lease."""
     fleet = jobs_fleet
     await _submit(fleet, _job("watch", 1, kind="watch-stock", priority="watcher"))
 
@@ -75,8 +80,8 @@
     assert seen["begun"]["watch/0"] == 1
 
 
-async def test_lost_answers_and_duplicates(jobs_fleet: Fleet) -> None:
-    """Appends that take effect without an answer, or twice, run nothing twice."""
+async def test_lost_answers_and_duplicate_appends_run_no_task_twice(jobs_fleet: Fleet) -> None:
+    """Check that no task runs twice if appends take effect without an answer, or twice."""
     fleet = jobs_fleet
     faults = {"answer_lost": 0.4, "duplicate": 0.3, "append_lost": 0.2}
     await fleet.post(fleet.platform, "/faults", faults)
@@ -85,21 +90,21 @@
     assert set(seen["completed"].values()) == {1}
 
 
-async def test_silent_worker_is_waited_out(jobs_fleet: Fleet) -> None:
-    """Its watcher starts elsewhere only after the lease has lapsed."""
+async def test_watcher_of_a_silent_worker_moves_after_its_lease(jobs_fleet: Fleet) -> None:
+    """Check that a watcher starts elsewhere only after its lease on a silent worker expired."""
     fleet = jobs_fleet
     await _submit(fleet, _job("watch", 1, kind="watch-stock", priority="watcher"))
 
-    async def where() -> str:
+    async def worker_of_watcher() -> str:
         running = (await fleet.witness())["running"]
         return running["watch/0"][0] if running else ""
 
-    await fleet.until(where, "watcher running")
-    first = await where()
+    await fleet.until(worker_of_watcher, "watcher running")
+    first = await worker_of_watcher()
     await fleet.post(fleet.witnesses[HALL], "/silence", [first])
 
     async def moved() -> bool:
-        return await where() not in ("", first)
+        return await worker_of_watcher() not in ("", first)
 
     await fleet.until(moved, "watcher moved")
     seen = await fleet.witness()
@@ -109,18 +114,18 @@
         assert fleet.daemons["s1"].seen(event) or fleet.daemons["s2"].seen(event), event
 
 
-async def test_cancelled_queue_was_not_run(jobs_fleet: Fleet) -> None:
-    """What is reported as not run was begun on no worker."""
+async def test_cancelled_queued_tasks_were_not_started(jobs_fleet: Fleet) -> None:
+    """Check that no task that is reported as not run was started on a worker."""
     fleet = jobs_fleet
     await _submit(fleet, _job("big", 200))
     address = fleet.daemons["g1"].callers
     status, _ = await fleet.call("DELETE", address, "/jobs/big")
     assert status == 200
 
-    async def over() -> bool:
+    async def finished() -> bool:
         return (await fleet.call("GET", address, "/jobs/big"))[1]["state"] == "finished"
 
-    await fleet.until(over, "cancelled")
+    await fleet.until(finished, "cancelled")
     counts = (await fleet.call("GET", address, "/jobs/big"))[1]["counts"]
     begun = (await fleet.witness())["begun"]
     assert counts["not_run"] > 0
@@ -129,8 +134,8 @@
     assert (status, answer["status"]) == (409, "refused")
 
 
-async def test_job_never_heard_of_can_be_ruled_out(jobs_fleet: Fleet) -> None:
-    """Cancelling an unknown id makes sure that it never runs."""
+async def test_unknown_job_can_be_cancelled_in_advance(jobs_fleet: Fleet) -> None:
+    """Check that a job never runs if its id was cancelled before its submission."""
     address = jobs_fleet.daemons["g1"].callers
     assert (await jobs_fleet.call("GET", address, "/jobs/ghost"))[0] == 404
     status, answer = await jobs_fleet.call("DELETE", address, "/jobs/ghost")
@@ -139,8 +144,8 @@
     assert (status, answer["status"]) == (409, "refused")
 
 
-async def test_planned_stop_of_a_scheduler(jobs_fleet: Fleet) -> None:
-    """SIGTERM leaves the ledger cleanly, and the other goes on."""
+async def test_planned_stop_of_a_scheduler_leaves_the_ledger(jobs_fleet: Fleet) -> None:
+    """Check that a scheduler leaves the ledger on SIGTERM, and the other one serves on."""
     fleet = jobs_fleet
     leaving = fleet.daemons["s1"]
     leaving.signal(signal.SIGTERM)
@@ -152,8 +157,8 @@
     assert status["schedulers"] == [status["name"]]
 
 
-async def test_explain_tells_where_and_why(jobs_fleet: Fleet) -> None:
-    """Each decision shows with its figures, and waiting work with its reason."""
+async def test_explain_shows_decisions_and_reasons_for_waiting(jobs_fleet: Fleet) -> None:
+    """Check that placed tasks are explained by their decisions, and queued ones by a reason."""
     fleet = jobs_fleet
     huge = _job("huge", 1, size={"milli_cpu": 64_000, "memory_mb": 8_000})
     await _submit(fleet, huge)
@@ -161,11 +166,11 @@
     await _wait_done(fleet, "plain", 2)
     address = fleet.daemons["g1"].callers
 
-    async def told() -> bool:
+    async def explained() -> bool:
         answer = (await fleet.call("GET", address, "/jobs/huge/explain"))[1]
         return answer["waiting_because"] == "no worker is large enough"
 
-    await fleet.until(told, "reason for huge")
+    await fleet.until(explained, "reason for huge")
     assert fleet.daemons["s1"].seen(411) or fleet.daemons["s2"].seen(411)
     answer = (await fleet.call("GET", address, "/jobs/plain/explain"))[1]
     assert any(f"to {HALL}-w" in line for line in answer["decisions"])
--- a/tests/process/test_requests.py
+++ b/tests/process/test_requests.py
@@ -1,4 +1,9 @@
-"""Requests through real gateways and executors that misbehave."""
+"""Requests through gateway processes to executors that fail, and from callers that misbehave.
+
+Guards against a request that is sent twice although it must not be repeated, an answer that
+reaches the wrong caller or is cut short, executors with more requests than slots, and malformed
+input that reaches an executor.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,7 @@
 PATH = f"/services/{SERVICE}/search"
 
 
-async def _sent(fleet: Fleet) -> int:
+async def _requests_sent(fleet: Fleet) -> int:
     stats = [await fleet.get(address, "/_stats") for address in fleet.executors.values()]
     return sum(s["requests"] for s in stats)
 
@@ -26,7 +31,7 @@
     return max(s["most_in_flight"] for s in stats)
 
 
-async def test_each_caller_gets_its_own_whole_answer(requests_fleet: Fleet) -> None:
+async def test_each_caller_gets_its_own_complete_answer(requests_fleet: Fleet) -> None:
     fleet = requests_fleet
     gateways = [fleet.daemons[name].callers for name in ("g1", "g2")]
 
@@ -40,8 +45,8 @@
     assert all(await asyncio.gather(*(ask(n) for n in range(100))))
 
 
-async def test_at_most_once_over_two_gateways(requests_fleet: Fleet) -> None:
-    """The balancer's resend reaches another gateway at the same moment."""
+async def test_non_repeatable_request_is_sent_once_by_two_gateways(requests_fleet: Fleet) -> None:
+    """Check that a request is sent once if a load balancer resends it to another gateway."""
     fleet = requests_fleet
     headers = {"Linkspan-Repeatable": "no", "Idempotency-Key": "delivery-7"}
     calls = [
@@ -50,13 +55,15 @@
     ]
     answers = await asyncio.gather(*calls)
     assert sorted(status for status, _ in answers) == [200, 409, 409, 409]
-    assert await _sent(fleet) == 1
+    assert await _requests_sent(fleet) == 1
     late = await fleet.call("POST", fleet.daemons["g2"].callers, PATH, b"plan", headers=headers)
     assert late[0] == 409
     assert late[1]["error"] == "already_dispatched"
 
 
-async def test_not_repeatable_is_refused_while_the_log_is_down(requests_fleet: Fleet) -> None:
+async def test_non_repeatable_request_is_refused_while_the_log_is_down(
+    requests_fleet: Fleet,
+) -> None:
     fleet = requests_fleet
     await fleet.post(fleet.platform, "/faults", {"down": True})
     headers = {
@@ -71,11 +78,11 @@
     assert await fleet.call("GET", fleet.daemons["g1"].callers, f"{PATH}?q=1") == (200, "1:")
     await fleet.post(fleet.platform, "/faults", {"down": False})
     await asyncio.sleep(1.5)
-    assert (await _sent(fleet)) == 1
+    assert (await _requests_sent(fleet)) == 1
 
 
-async def test_key_of_a_request_that_was_not_run_may_come_back(requests_fleet: Fleet) -> None:
-    """Refused by the queue or never sent, the same key is served later."""
+async def test_key_of_a_request_that_was_not_run_may_be_retried(requests_fleet: Fleet) -> None:
+    """Check that the key of a request that was never sent is served on a retry."""
     fleet = requests_fleet
     headers = {"Linkspan-Repeatable": "no", "Idempotency-Key": "again"}
     address = fleet.daemons["g1"].callers
@@ -89,22 +96,22 @@
         await fleet.list_host(name, HALL, "executor", executor, service=SERVICE)
     await asyncio.sleep(1.0)
     assert (await fleet.call("POST", address, PATH, b"plan", headers=headers))[0] == 200
-    assert await _sent(fleet) == 1
+    assert await _requests_sent(fleet) == 1
 
 
 @pytest.mark.parametrize("failure", ["reset", "truncate", "fail"])
 async def test_post_that_failed_is_sent_once(requests_fleet: Fleet, failure: str) -> None:
-    """No answer, or a part of one, is never shown as a whole answer or repeated."""
+    """Check that no answer, or a part of one, is neither passed on as complete nor retried."""
     fleet = requests_fleet
     status, _ = await fleet.call(
         "POST", fleet.daemons["g1"].callers, f"{PATH}?do={failure}", b"plan"
     )
     assert status in (502, 503)
-    assert await _sent(fleet) == 1
+    assert await _requests_sent(fleet) == 1
 
 
 async def test_path_query_and_headers_pass_unchanged(requests_fleet: Fleet) -> None:
-    """Escapes stay escapes, repeated headers stay repeated, our own cannot be forged."""
+    """Check that escapes and repeated headers are kept, and internal headers cannot be forged."""
     tail = "/a%2Fb%3Fc/d?do=echo&q=1%2B2+3&q=%C3%A9"
     url = f"http://{requests_fleet.daemons['g1'].callers}/services/{SERVICE}{tail}"
     async with requests_fleet.session.get(URL(url, encoded=True)) as answer:
@@ -113,23 +120,26 @@
         assert "Linkspan-Not-Sent" not in answer.headers
 
 
-async def test_retry_that_was_not_sent_does_not_hide_the_first(requests_fleet: Fleet) -> None:
-    """The first executor may have run it, the second refuses: the outcome is unknown."""
+async def test_unsent_retry_does_not_hide_an_unknown_outcome(requests_fleet: Fleet) -> None:
+    """Check the outcome of a request whose retry fails before it is sent.
+
+    The first executor may have run the request, so the outcome is unknown.
+    """
     fleet = requests_fleet
     name = sorted(fleet.executors)[0]
     await fleet.list_host(name, HALL, "executor", "127.0.0.1:1", service=SERVICE)
     await asyncio.sleep(1.0)
     statuses = set()
     for _ in range(30):
-        before = await _sent(fleet)
+        before = await _requests_sent(fleet)
         got, answer = await fleet.call("GET", fleet.daemons["g1"].callers, f"{PATH}?do=reset")
         statuses.add((got, answer["error"]))
-        if await _sent(fleet) > before:
+        if await _requests_sent(fleet) > before:
             assert answer["error"] == "outcome_unknown"
     assert (502, "outcome_unknown") in statuses
 
 
-async def test_feed_passes_through(requests_fleet: Fleet) -> None:
+async def test_stream_passes_through(requests_fleet: Fleet) -> None:
     status, text = await requests_fleet.call(
         "GET",
         requests_fleet.daemons["g1"].callers,
@@ -139,8 +149,8 @@
     assert (status, text) == (200, "piece\n" * 3)
 
 
-async def test_overload_is_refused_at_once_with_when_to_return(requests_fleet: Fleet) -> None:
-    """Requests that cannot make their deadline are told so long before it."""
+async def test_overload_is_refused_at_once_with_a_retry_time(requests_fleet: Fleet) -> None:
+    """Check that requests that cannot meet their deadline are refused long before it."""
     fleet = requests_fleet
     headers = {"Linkspan-Deadline-Ms": "1000"}
     address = fleet.daemons["g1"].callers
@@ -161,7 +171,9 @@
     assert await _most_in_flight(fleet) <= 8
 
 
-async def test_slots_hold_while_a_gateway_is_paused_and_killed(requests_fleet: Fleet) -> None:
+async def test_slots_are_not_exceeded_while_a_gateway_is_paused_and_killed(
+    requests_fleet: Fleet,
+) -> None:
     fleet = requests_fleet
 
     async def load(name: str, seconds: float) -> None:
@@ -169,10 +181,10 @@
         while time.monotonic() < until:
             await fleet.call("GET", fleet.daemons[name].callers, f"{PATH}?sleep=0.1")
 
-    one = [load("g1", 6.0) for _ in range(30)]
-    other = asyncio.gather(*(load("g2", 1.0) for _ in range(30)), return_exceptions=True)
-    running = asyncio.gather(*one)
-    await other
+    g1_load = [load("g1", 6.0) for _ in range(30)]
+    g2_load = asyncio.gather(*(load("g2", 1.0) for _ in range(30)), return_exceptions=True)
+    running = asyncio.gather(*g1_load)
+    await g2_load
     fleet.daemons["g2"].signal(signal.SIGSTOP)
     await asyncio.sleep(2.0)
     fleet.daemons["g2"].signal(signal.SIGCONT)
@@ -182,7 +194,7 @@
     assert await _most_in_flight(fleet) <= 8
 
 
-async def test_planned_stop_finishes_what_is_in_flight(requests_fleet: Fleet) -> None:
+async def test_planned_stop_finishes_requests_in_flight(requests_fleet: Fleet) -> None:
     fleet = requests_fleet
     leaving = fleet.daemons["g1"]
     slow = asyncio.create_task(fleet.call("GET", leaving.callers, f"{PATH}?sleep=1.5&q=1"))
@@ -195,7 +207,7 @@
     assert await asyncio.wait_for(leaving.process.wait(), 10) == 0
 
 
-async def test_leaving_executor_gets_nothing_new(requests_fleet: Fleet) -> None:
+async def test_leaving_executor_gets_no_new_requests(requests_fleet: Fleet) -> None:
     fleet = requests_fleet
     name, address = next(iter(fleet.executors.items()))
     await fleet.list_host(name, HALL, "executor", address, service=SERVICE, leaving=True)
@@ -206,7 +218,7 @@
     assert (await fleet.get(address, "/_stats"))["requests"] == before
 
 
-BAD = [
+INVALID_REQUESTS = [
     ("POST", "/jobs", b"\xff{", {}, 400, "body"),
     ("POST", "/jobs", b"[]", {}, 400, "body"),
     ("POST", "/jobs", b'{"job_id": 7}', {}, 400, "size"),
@@ -219,17 +231,17 @@
 ]
 
 
-async def test_bad_input_is_told_the_field(requests_fleet: Fleet) -> None:
+async def test_refusal_of_invalid_input_names_the_field(requests_fleet: Fleet) -> None:
     fleet = requests_fleet
-    for method, path, body, headers, status, field in BAD:
+    for method, path, body, headers, status, field in INVALID_REQUESTS:
         got, answer = await fleet.call(
             method, fleet.daemons["g1"].callers, path, body, headers=headers
         )
         assert (got, answer.get("field")) == (status, field), answer
-    assert await _sent(fleet) == 0
+    assert await _requests_sent(fleet) == 0
 
 
-SMUGGLING = [
+SMUGGLING_REQUESTS = [
     b"POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n"
     b"\r\n",
     b"POST %s HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
@@ -238,26 +250,26 @@
 ]
 
 
-async def test_smuggling_shapes_are_refused(requests_fleet: Fleet) -> None:
+async def test_request_smuggling_is_refused(requests_fleet: Fleet) -> None:
     host, port = requests_fleet.daemons["g1"].callers.split(":")
-    for shape in SMUGGLING:
+    for request in SMUGGLING_REQUESTS:
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(shape % PATH.encode())
+        writer.write(request % PATH.encode())
         answer = await asyncio.wait_for(reader.read(200), 5)
         writer.close()
         assert answer.startswith(b"HTTP/1.1 400") or answer.startswith(b"HTTP/1.0 400"), answer
-    assert await _sent(requests_fleet) == 0
+    assert await _requests_sent(requests_fleet) == 0
 
 
-async def test_peer_that_sends_rubbish_is_cut_off(requests_fleet: Fleet) -> None:
+async def test_peer_that_sends_malformed_frames_is_disconnected(requests_fleet: Fleet) -> None:
     host, port = requests_fleet.daemons["g1"].peer.split(":")
-    for rubbish in (
+    for malformed in (
         b"GET / HTTP/1.1\r\n\r\n",
         b"\x01\xff\xff\xff\xff",
         b"\x01\x00\x00\x00\x04abcd",
     ):
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(rubbish)
+        writer.write(malformed)
         assert await asyncio.wait_for(reader.read(), 5) == b""
         writer.close()
     gateway = requests_fleet.daemons["g1"]
--- a/tests/process/test_start_bound.py
+++ b/tests/process/test_start_bound.py
@@ -1,4 +1,8 @@
-"""The bound on a process's start finds one that spins and one that never speaks."""
+"""The time limit on the start of a process, which other process tests rely on.
+
+Guards against a process that spins or never prints its address and that the limit does not detect:
+the tests would then wait for it.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +14,9 @@
 
 from tests.standins.start_bound import SlowStart, within_start_bound
 
-SPINS = "while True: pass"
-SLEEPS = "import time; time.sleep(60)"
-SPEAKS = "print('127.0.0.1:1', flush=True)"
+SPINNING = "while True: pass"
+SLEEPING = "import time; time.sleep(60)"
+LISTENING = "print('127.0.0.1:1', flush=True)"
 
 
 async def _first_line(code: str, *, own_s: float, wall_s: float) -> bytes:
@@ -28,12 +32,13 @@
 
 
 @pytest.mark.parametrize(
-    ("code", "own_s", "wall_s"), [(SPINS, 0.3, 60.0), (SLEEPS, 0.3, 60.0), (SLEEPS, 60.0, 0.3)]
+    ("code", "own_s", "wall_s"),
+    [(SPINNING, 0.3, 60.0), (SLEEPING, 0.3, 60.0), (SLEEPING, 60.0, 0.3)],
 )
-async def test_a_start_over_its_bound_is_found(code: str, own_s: float, wall_s: float) -> None:
+async def test_a_start_over_its_limit_raises(code: str, own_s: float, wall_s: float) -> None:
     with pytest.raises(SlowStart):
         await _first_line(code, own_s=own_s, wall_s=wall_s)
 
 
-async def test_a_start_within_its_bound_is_let_through() -> None:
-    assert await _first_line(SPEAKS, own_s=5.0, wall_s=60.0) == b"127.0.0.1:1\n"
+async def test_a_start_within_its_limit_returns_its_line() -> None:
+    assert await _first_line(LISTENING, own_s=5.0, wall_s=60.0) == b"127.0.0.1:1\n"
