--- a/tests/soak/test_demo.py
+++ b/tests/soak/test_demo.py
@@ -1,4 +1,8 @@
-"""The README's main job: what it serves, what it counts, and what its exit code says."""
+"""The demo of the README: what it serves, what it counts, and its exit code.
+
+Guards against a demo that reports success although a count is short, and against steps of the
+README that do not work on the kept demo.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +21,19 @@
 from tests.job_builders import QUEUE
 
 RUN_LIMIT_S = 60.0
-"""Longest time of a run: its own limits, 20 s to start and 30 s to work, and room."""
+"""Maximum duration of a run: its own limits, 20 s to start and 30 s to work, and a margin."""
 
-KEPT = "kept running"
+KEPT_MESSAGE = "kept running"
 
 
-async def _started(folder: Path, *flags: str) -> Process:
+async def _start_demo(folder: Path, *flags: str) -> Process:
     script = str(demo.ROOT / "scripts" / "demo.py")
     command = (sys.executable, script, "--logs", str(folder), *flags)
     return await asyncio.create_subprocess_exec(*command, stdout=PIPE)
 
 
-async def test_it_kills_an_owner_and_meets_each_count(tmp_path: Path) -> None:
-    process = await _started(tmp_path)
+async def test_demo_kills_an_owner_and_meets_each_count(tmp_path: Path) -> None:
+    process = await _start_demo(tmp_path)
     async with asyncio.timeout(RUN_LIMIT_S):
         output, _ = await process.communicate()
     last = output.decode().splitlines()[-1]
@@ -38,7 +42,7 @@
     assert "killed owner replaced 1/1, promises broken 0/0" in last
 
 
-async def test_work_that_is_not_done_in_time_is_told(
+async def test_demo_reports_work_that_is_not_done_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(demo, "WORK_LIMIT_S", 1.0)
@@ -47,48 +51,46 @@
 
 
 @pytest.mark.parametrize(("number", "wanted", "code"), [(3, 3, 0), (2, 3, 1), (4, 3, 1)])
-def test_one_count_that_is_not_met_decides_the_exit_code(
-    number: int, wanted: int, code: int
-) -> None:
+def test_a_count_that_is_not_met_decides_the_exit_code(number: int, wanted: int, code: int) -> None:
     assert demo.tell([demo.Count("a", 1, 1), demo.Count("b", number, wanted)]) == code
 
 
-async def test_what_is_kept_serves_until_it_is_ended(tmp_path: Path) -> None:
-    process = await _started(tmp_path, "--keep")
+async def test_kept_demo_serves_until_it_is_stopped(tmp_path: Path) -> None:
+    process = await _start_demo(tmp_path, "--keep")
     try:
         async with asyncio.timeout(RUN_LIMIT_S):
-            told = await _read_until_kept(process)
-            await _use(told, tmp_path)
+            output = await _read_until_kept(process)
+            await _use(output, tmp_path)
     finally:
         process.send_signal(signal.SIGTERM)
         await process.wait()
     assert process.returncode == 0
     with pytest.raises(ConnectionRefusedError):
-        await asyncio.open_connection(*_found(r"host-0: callers ([\d.]+):(\d+)", told))
+        await asyncio.open_connection(*_find(r"host-0: callers ([\d.]+):(\d+)", output))
 
 
 async def _read_until_kept(process: Process) -> str:
     assert process.stdout
-    told = ""
-    while KEPT not in told:
+    output = ""
+    while KEPT_MESSAGE not in output:
         line = await process.stdout.readline()
-        assert line, told
-        told += line.decode()
-    return told
+        assert line, output
+        output += line.decode()
+    return output
 
 
-def _found(pattern: str, told: str) -> tuple[str, ...]:
-    match = re.search(pattern, told)
-    assert match, told
+def _find(pattern: str, output: str) -> tuple[str, ...]:
+    match = re.search(pattern, output)
+    assert match, output
     return match.groups()
 
 
-async def _use(told: str, folder: Path) -> None:
-    """Do what the README's first look does."""
-    (callers,) = _found(r"host-1: callers (\S+),", told)
-    (readiness,) = _found(r"host-1: .*readiness (\S+),", told)
-    (job_id,) = _found(r"a job to submit: (\w+)", told)
-    (standing_id,) = _found(r"a job that stands: (\w+)", told)
+async def _use(output: str, folder: Path) -> None:
+    """Follow the steps of the README on the kept demo."""
+    (callers,) = _find(r"host-1: callers (\S+),", output)
+    (readiness,) = _find(r"host-1: .*readiness (\S+),", output)
+    (job_id,) = _find(r"a job to submit: (\w+)", output)
+    (standing_id,) = _find(r"a job that stands: (\w+)", output)
     url = f"http://{callers}{QUEUE.prefix}"
     async with aiohttp.ClientSession(headers={"Host": QUEUE.host}) as session:
         async with session.get(readiness) as answer:
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -1,4 +1,8 @@
-"""The judge notices what executors and callers saw go wrong, and only that."""
+"""The soak's judge: which observations of executors and callers count as violations.
+
+Guards against a judge that overlooks a violation, and against one that reports a violation where
+a lost answer, an unacknowledged end or an expired lease explains the observation.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 TASK = TaskName(SPEC.job_id, 0, 0, 0)
 
 
-def _judged(job: Job, **seen: Any) -> list[str]:
+def _violated_rules(job: Job, **seen: Any) -> list[str]:
     callers = Callers(Random(0), {}, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
     callers.jobs.append(job)
     empty = {"broken": [], "started_at": {}, "done_at": {}, "running": []}
@@ -42,28 +46,30 @@
         ([SubmitOutcome.REFUSED, SubmitOutcome.ACCEPTED], []),
     ],
 )
-def test_only_a_job_that_was_refused_each_time_must_not_start(
+def test_only_a_job_whose_submissions_were_all_refused_must_not_start(
     told: list[SubmitOutcome], broken: list[str]
 ) -> None:
-    assert _judged(Job(SPEC, outcomes=told), started_at={SPEC.job_id: [1.0]}) == broken
+    assert _violated_rules(Job(SPEC, outcomes=told), started_at={SPEC.job_id: [1.0]}) == broken
 
 
 @pytest.mark.parametrize(("late_s", "broken"), [(0.1, ["UNASKED"]), (-0.1, [])])
-def test_a_start_long_after_its_cancel_is_noticed(late_s: float, broken: list[str]) -> None:
+def test_a_start_long_after_its_cancel_is_a_violation(late_s: float, broken: list[str]) -> None:
     job = Job(SPEC, outcomes=[SubmitOutcome.ACCEPTED], cancelled_at=CALM_FROM + 5)
     started = CALM_FROM + 5 + MAX_START_DELAY_AFTER_CANCEL_S + late_s
-    assert _judged(job, started_at={SPEC.job_id: [started]}) == broken
+    assert _violated_rules(job, started_at={SPEC.job_id: [started]}) == broken
 
 
 @pytest.mark.parametrize(("last_done", "broken"), [(9.0, []), (11.0, ["MIXED"]), (None, ["MIXED"])])
-def test_success_is_shown_after_the_last_end(last_done: float | None, broken: list[str]) -> None:
+def test_success_before_the_last_end_is_a_violation(
+    last_done: float | None, broken: list[str]
+) -> None:
     job = Job(SPEC, outcomes=[SubmitOutcome.ACCEPTED], succeeded_at=10.0)
     done = dict.fromkeys(job.tasks, 8.0)
     if last_done is None:
         done.pop(job.tasks[-1])
     else:
         done[job.tasks[-1]] = last_done
-    assert _judged(job, done_at=done) == broken
+    assert _violated_rules(job, done_at=done) == broken
 
 
 async def _world(**fields: Any) -> ExecutorWorld:
@@ -80,7 +86,7 @@
     executor.start(order, executor.clock + 5.0, token=1)
 
 
-async def test_two_runs_of_a_task_at_once_are_noticed() -> None:
+async def test_two_simultaneous_runs_of_a_task_are_a_violation() -> None:
     world = await _world()
     _start(world, 0, TASK, 1, "payload")
     assert not world.violations
@@ -88,14 +94,14 @@
     assert "TWICE" in world.violations[0]
 
 
-async def test_another_payload_and_a_step_too_early_are_noticed() -> None:
+async def test_another_payload_and_a_step_too_early_are_violations() -> None:
     world = await _world()
     _start(world, 0, TASK, 1, "another")
     _start(world, 0, TaskName(SPEC.job_id, 0, 1, 0), 1, "payload")
     assert [line.split()[1] for line in world.violations] == ["UNASKED", "ORDER"]
 
 
-async def test_a_start_after_a_done_end_is_noticed_once_that_is_acknowledged() -> None:
+async def test_a_start_after_a_done_end_is_a_violation_once_that_is_acknowledged() -> None:
     world = await _world()
     _start(world, 0, TASK, 1, "payload")
     first = world.executors["east-0:1"]
@@ -106,10 +112,11 @@
     assert "TWICE" in world.violations[0]
 
 
-async def test_an_end_that_nobody_acknowledged_is_not_that_of_a_later_run() -> None:
-    """An owner was lost before it could write the end, and the executor crashed with it.
+async def test_an_unacknowledged_end_is_not_taken_for_that_of_a_later_run() -> None:
+    """Check that runs with the same number are kept apart.
 
-    The next owner knows of no run and begins with the same number elsewhere.
+    An owner is lost before it records the end, and the executor crashes too. The next owner knows
+    of no run and starts one with the same number elsewhere.
     """
     world = await _world()
     _start(world, 0, TASK, 16, "payload")
@@ -121,19 +128,19 @@
     second._finish(second.running[TASK], EndKind.DONE)
     second.report(1)
     assert not world.violations
-    # Had the first one been acknowledged after all, that would be noticed.
+    # An acknowledgement of the first end is still reported as a violation.
     first.report(1)
     assert "TWICE" in world.violations[0]
 
 
-async def test_an_executor_that_guards_nothing_tells_when_it_is_overfilled() -> None:
+async def test_an_executor_without_admission_control_reports_overcommitment() -> None:
     world = await _world(guards_room=False, milli_cpu=1_500)
     _start(world, 0, TASK, 1, "payload")
     _start(world, 0, TaskName(SPEC.job_id, 0, 0, 1), 1, "payload")
     assert "LIMIT" in world.violations[0]
 
 
-async def test_an_end_that_a_lapsed_lease_hid_may_be_repeated() -> None:
+async def test_a_task_whose_end_an_expired_lease_hid_may_run_again() -> None:
     world = await _world()
     _start(world, 0, TASK, 1, "payload")
     first = world.executors["east-0:1"]
@@ -170,7 +177,7 @@
     assert is_valid_state(job, state, seen) is right
 
 
-def test_others_that_were_given_up_are_counted() -> None:
+def test_jobs_given_up_without_a_crash_or_a_failed_run_are_counted() -> None:
     callers = Callers(Random(0), {}, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
     callers.jobs += [
         Job(SPEC, last_state="failed"),
--- a/tests/soak/test_runs.py
+++ b/tests/soak/test_runs.py
@@ -1,4 +1,4 @@
-"""Seeded runs of the soak; more seeds are played by hand (docs/OPERATIONS.md)."""
+"""Seeded runs of the soak; more seeds are run by hand (docs/OPERATIONS.md)."""
 
 from __future__ import annotations
 
@@ -9,20 +9,19 @@
 from soak.verdicts import keep_failed_runs
 
 FRESH_SEED = 9201
-"""One that never failed."""
+"""A seed that never failed."""
 
+MAX_PARALLEL_SEEDS = 7
+"""Limit on seeds that run in parallel. Each takes about a core for half a minute, and more of them
+would test the machine instead of the hosts."""
 
-AT_ONCE = 7
-"""Seeds that are played at a time: each takes about a core for half a minute, and more at once
-would try the machine instead of the hosts."""
-
-KEPT_BELOW = Path("target/soak/red")
-"""Where the logs of runs that broke a promise stay."""
+FAILED_RUNS_FOLDER = Path("target/soak/red")
+"""Folder for the logs of runs with violations."""
 
 
 async def test_seeds_keep_all_promises_under_faults(tmp_path: Path) -> None:
     mended = [seed for seed, regression in REGRESSIONS.items() if regression.mended]
     seeds = [FRESH_SEED, *mended]
-    broken = await play_all(seeds, REGRESSION_S, AT_ONCE, str(tmp_path))
-    # A red run that cannot be read is lost.
-    assert broken == [], keep_failed_runs(broken, tmp_path, KEPT_BELOW)
+    broken = await play_all(seeds, REGRESSION_S, MAX_PARALLEL_SEEDS, str(tmp_path))
+    # A failure can only be analysed with its logs, so they are copied out of the test's folder.
+    assert broken == [], keep_failed_runs(broken, tmp_path, FAILED_RUNS_FOLDER)
