--- a/tests/host/crashing_day.py
+++ b/tests/host/crashing_day.py
@@ -1,4 +1,4 @@
-"""Builders of days on which tasks crash the executors that start them."""
+"""Builders of scenarios in which tasks crash the executors that start them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from tests.job_builders import step
 
 AT_ONCE_S = 0.01
-"""Seconds after its begin at which a task of the users' record crashed its executor."""
+"""Delay between a task's start and the crash of its executor, as in the incident that users
+reported."""
 
 GIVEN_UP_S = 40.0
-"""Time in which a task that crashes its executors is given up: four crashes that are found by
-their silence, of which each takes a lease of ten seconds at the longest."""
+"""Time within which the owner gives up a task that crashes its executors: up to four crashes,
+each detected by silence after at most one lease of ten seconds."""
 
-FIRST = (0, 0)
-"""Step and number of a job's first task."""
+FIRST_TASK = (0, 0)
+"""Step index and task index of a job's first task."""
 
 
 async def day(**fields: Any) -> HallWorld:
-    """Return two halls with six executors each, whose crashes reset their connections."""
+    """Start two halls of six executors each; a crash resets the executor's connections."""
     world = HallWorld(
         halls=("east", "west"), **{"executors_per_hall": 6, "resets": True, "seed": 7, **fields}
     )
@@ -36,16 +37,16 @@
     spec: JobSpec,
     *,
     after_s: float = AT_ONCE_S,
-    tasks: Iterable[tuple[int, int]] = (FIRST,),
+    tasks: Iterable[tuple[int, int]] = (FIRST_TASK,),
     repetition: int = 0,
 ) -> None:
-    """Let tasks of a job crash each executor that starts them."""
+    """Make tasks of a job crash each executor that starts them."""
     for number, index in tasks:
         world.crashing.after_s[TaskName(spec.job_id, repetition, number, index)] = after_s
 
 
 async def submit(world: HallWorld, *steps: StepSpec, host: str = "east-host-0") -> JobSpec:
-    """Submit a job that ends well."""
+    """Submit a job whose tasks crash no executor."""
     spec = world.new_job(*steps)
     assert await world.submit(host, spec) == 200
     return spec
@@ -62,7 +63,7 @@
 
 
 async def crash_hall(world: HallWorld, hall: str, *, back_s: float = 1.0) -> None:
-    """Crash all executors of a hall at once, as when its rack loses power."""
+    """Crash all executors of a hall at once, as a power loss of its rack does."""
     addresses = [a for a, e in world.executors.items() if e.record.hall == hall and e.alive]
     for address in addresses:
         world.crash_executor(address, back=False)
@@ -72,6 +73,6 @@
 
 
 async def states(world: HallWorld, specs: Iterable[JobSpec]) -> list[str]:
-    """Return how jobs are shown by a host that is up."""
+    """Return the states of jobs as a running host reports them."""
     name = next(iter(world.hosts))
     return [await world.state(name, spec.job_id) for spec in specs]
--- a/tests/host/failing_gangs_day.py
+++ b/tests/host/failing_gangs_day.py
@@ -1,4 +1,4 @@
-"""A drawn day of gangs whose members fail, while owners change and their writes are lost."""
+"""A random scenario of gangs whose members fail while owners change and their writes are lost."""
 
 from __future__ import annotations
 
@@ -14,157 +14,161 @@
 from tests.lapses import LapsingWorld
 from tests.standins.memory_executor import MemoryExecutor
 
-GANGS = 12
-"""Gangs of a day: with the share of failing runs, some use their attempts up and most do not."""
+GANG_COUNT = 12
+"""Number of gangs: with this share of failing runs some use up their attempts and most do not."""
 
-BETWEEN_S = 1.5
-"""Longest time between two gangs."""
+MAX_SUBMISSION_INTERVAL_S = 1.5
+"""Longest time between two submissions."""
 
 FAILING_SHARE = 0.35
 """Share of a gang's runs that fail."""
 
-CULPRIT_SHARE = 0.6
-"""Share of the members that end as failed in such a run; at least one does."""
+FAILING_MEMBER_SHARE = 0.6
+"""Probability that a member of a failing run ends as failed; at least one member does."""
 
-BROKEN_S = 0.02, 0.4
-"""Time after a member's end at which the others end as broken, unless they have failed, too."""
+BREAK_DELAY_RANGE_S = 0.02, 0.4
+"""Range of delays between a member's end and the end of the other members as broken, unless these
+have failed as well."""
 
-TROUBLE_SHARE = 0.7
-"""Share of failed runs beside which something else goes wrong."""
+FAULT_SHARE = 0.7
+"""Share of failed runs during which further faults are injected."""
 
-AWAY_S = 0.4, 2.0, 8.0, 14.0
-"""Times for which an executor is cut off: below and above a lease and the time of an entry."""
+CUT_OFF_DURATIONS_S = 0.4, 2.0, 8.0, 14.0
+"""Durations for which an executor is cut off: shorter and longer than a lease and than the lifetime
+of a registry entry."""
 
 SETTLED_S = 90.0
-"""Time in which all gangs end, also those that wait out leases."""
+"""Time in which all gangs end, including those that wait for leases to expire."""
 
 
 @dataclass
 class GangsWorld(LapsingWorld):
-    """A deployment in which members of one run of a gang fail, and end the others' runs.
+    """A deployment in which failing members of a gang end the runs of the other members.
 
     Attributes:
-        trouble_beside: Draws what goes wrong beside a failed run.
-        seen: Runs of gangs that failed.
+        fault_random: Draws the faults that are injected during a failed run.
+        failed_runs: Gang runs that failed.
     """
 
-    trouble_beside: Random = field(default_factory=lambda: Random(0))
-    seen: set[tuple[str, int]] = field(default_factory=set)
+    fault_random: Random = field(default_factory=lambda: Random(0))
+    failed_runs: set[tuple[str, int]] = field(default_factory=set)
 
-    def _culprits(self, task: TaskName, run: int) -> set[int]:
-        """Return the members that end as failed in a run, none in one that ends well."""
+    def _failing_members(self, task: TaskName, run: int) -> set[int]:
+        """Return the members that end as failed in a run; none if the run succeeds."""
         draw = Random(f"{self.seed} {task.job_id} {run}")
         if draw.random() >= FAILING_SHARE:
             return set()
         members = range(self.step_of(task).count)
-        return {i for i in members if draw.random() < CULPRIT_SHARE} or {draw.choice(members)}
+        return {i for i in members if draw.random() < FAILING_MEMBER_SHARE} or {
+            draw.choice(members)
+        }
 
     def running_time(self, task: TaskName) -> float:
-        # Members work together and end together.
+        # All members of a gang have the same duration.
         draw = Random(f"{self.seed} {task.job_id}")
         return self.step_of(task).estimate_s * draw.uniform(0.8, 1.2)
 
     def fails(self, task: TaskName, run: int) -> bool:
-        return task.index in self._culprits(task, run)
+        return task.index in self._failing_members(task, run)
 
     def may_end(self, task: TaskName, run: int) -> bool:
-        culprits = self._culprits(task, run)
-        return super().may_end(task, run) and (not culprits or task.index in culprits)
+        failing = self._failing_members(task, run)
+        return super().may_end(task, run) and (not failing or task.index in failing)
 
     def judge_end(self, executor: MemoryExecutor, task: TaskName, run: int, kind: EndKind) -> None:
         super().judge_end(executor, task, run, kind)
         if kind in (EndKind.FAILED, EndKind.LAPSED, EndKind.STOPPED):
-            later(self.trouble_beside.uniform(*BROKEN_S), self._break, task, run)
-        if kind is EndKind.FAILED and (task.job_id, run) not in self.seen:
-            self.seen.add((task.job_id, run))
-            self._disturb(task, run)
+            later(self.fault_random.uniform(*BREAK_DELAY_RANGE_S), self._break, task, run)
+        if kind is EndKind.FAILED and (task.job_id, run) not in self.failed_runs:
+            self.failed_runs.add((task.job_id, run))
+            self._inject_faults(task, run)
 
     def _break(self, task: TaskName, run: int) -> None:
         for executor in self.executors.values():
             if executor.alive:
                 executor.break_member(task, run)
 
-    def _disturb(self, task: TaskName, run: int) -> None:
-        """Beside a failed run, cut some executors of it off, lose writes, and lose the owner."""
-        draw = self.trouble_beside
-        if draw.random() >= TROUBLE_SHARE:
+    def _inject_faults(self, task: TaskName, run: int) -> None:
+        """Cut off some executors of a failed run, lose writes, and kill the owner."""
+        draw = self.fault_random
+        if draw.random() >= FAULT_SHARE:
             return
         self.trouble()
         for executor in list(self.executors.values()):
             if any(t.job_id == task.job_id for t in executor.running) and draw.random() < 0.6:
-                self._cut_off(executor, draw.choice(AWAY_S))
+                self._cut_off(executor, draw.choice(CUT_OFF_DURATIONS_S))
         if draw.random() < 0.6:
             self._lose_writes(draw.uniform(0.1, 1.0))
         if draw.random() < 0.7:
-            later(draw.uniform(0.0, 1.5), self._lose_owner, draw.uniform(0.2, 3.0))
+            later(draw.uniform(0.0, 1.5), self._kill_owner, draw.uniform(0.2, 3.0))
 
-    def _cut_off(self, executor: MemoryExecutor, away_s: float) -> None:
+    def _cut_off(self, executor: MemoryExecutor, duration_s: float) -> None:
         cut = {(name, executor.record.address) for name, _ in self.host_names()}
         self.cuts |= cut
-        if away_s > ENTRY_GOES_S:
+        if duration_s > ENTRY_GOES_S:
             later(ENTRY_GOES_S, self.forget_registration, executor)
-        later(away_s, self._reach_again, executor)
+        later(duration_s, self._reconnect, executor)
 
-    def _reach_again(self, executor: MemoryExecutor) -> None:
+    def _reconnect(self, executor: MemoryExecutor) -> None:
         self.trouble()
         self.cuts -= {(name, executor.record.address) for name, _ in self.host_names()}
         self.register(executor)
 
-    def _lose_writes(self, lost_s: float) -> None:
-        self.store.losing, self.store.late = 0.7, self.trouble_beside.random() < 0.5
-        later(lost_s, self.store.calm)
+    def _lose_writes(self, duration_s: float) -> None:
+        self.store.losing, self.store.late = 0.7, self.fault_random.random() < 0.5
+        later(duration_s, self.store.calm)
 
-    def _lose_owner(self, back_s: float) -> None:
+    def _kill_owner(self, down_s: float) -> None:
         owner = self.owner()
         if owner is None:
             return
         self.trouble()
         self.kill_host(owner)
-        later(back_s, self._come_back_host, owner)
+        later(down_s, self._restart_host, owner)
 
-    def _come_back_host(self, name: str) -> None:
+    def _restart_host(self, name: str) -> None:
         if name not in self.hosts:
             self.start_host(name)
 
 
 @dataclass
-class GangsPlayed:
-    """What a day left.
+class GangsOutcome:
+    """The outcome of a scenario.
 
     Attributes:
         world: The deployment.
-        states: How the gangs' jobs are shown at the end.
+        states: Final states of the gangs' jobs.
     """
 
     world: GangsWorld
     states: list[str]
 
 
-async def failing_gangs(seed: int) -> GangsPlayed:
-    """Play a day of gangs of two to four members in a hall of four executors."""
+async def failing_gangs(seed: int) -> GangsOutcome:
+    """Run gangs of two to four members in a hall of four executors."""
     random = Random(seed)
     world = GangsWorld(
         seed=seed,
         hosts_per_hall=3,
         executors_per_hall=4,
         lists_machines=random.random() < 0.5,
-        trouble_beside=random,
+        fault_random=random,
     )
     await world.begin()
     specs: list[JobSpec] = []
     async with asyncio.TaskGroup() as group:
-        for _ in range(GANGS):
-            await asyncio.sleep(random.uniform(0.0, BETWEEN_S))
+        for _ in range(GANG_COUNT):
+            await asyncio.sleep(random.uniform(0.0, MAX_SUBMISSION_INTERVAL_S))
             gang = step(random.randint(2, 4), cpu=1_500, estimate_s=1.0, gang=True)
             specs.append(world.new_job(gang))
-            group.create_task(_send(world, specs[-1]))
+            group.create_task(_submit_until_accepted(world, specs[-1]))
     await asyncio.sleep(SETTLED_S)
     name = next(iter(world.hosts))
-    return GangsPlayed(world, [await world.state(name, spec.job_id) for spec in specs])
+    return GangsOutcome(world, [await world.state(name, spec.job_id) for spec in specs])
 
 
-async def _send(world: GangsWorld, spec: JobSpec) -> None:
-    """Send a job until it is accepted."""
+async def _submit_until_accepted(world: GangsWorld, spec: JobSpec) -> None:
+    """Submit a job repeatedly until a host accepts it."""
     while True:
         for name in sorted(world.hosts):
             if name in world.hosts and await world.submit(name, spec) == 200:
--- a/tests/host/later.py
+++ b/tests/host/later.py
@@ -1,4 +1,4 @@
-"""Calls that come later, whatever becomes of the process that is served now."""
+"""Delayed calls that run even if the host process that is current now ends."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def later(delay_s: float, call: Callable[..., Any], *args: Any) -> None:
-    """Call in some seconds; the call belongs to no host."""
+    """Schedule a call after a delay, in an empty context that belongs to no host."""
     asyncio.get_running_loop().call_later(delay_s, call, *args, context=Context())
--- a/tests/host/overlapping_day.py
+++ b/tests/host/overlapping_day.py
@@ -1,4 +1,4 @@
-"""A day of drawn troubles that overlap, with callers that send jobs again elsewhere."""
+"""A random scenario of overlapping faults, with callers that resubmit jobs at other hosts."""
 
 from __future__ import annotations
 
@@ -12,45 +12,51 @@
 from tests.hall_world import HallWorld
 from tests.job_builders import step
 
-TROUBLES_FROM_S = 3.0
-"""Time after the start of the traffic at which the first trouble may begin."""
+FIRST_TROUBLE_S = 3.0
+"""Earliest start of a fault, after the start of the traffic."""
 
-TROUBLES_UNTIL_S = 14.0
-"""Time by which the last trouble has begun."""
+LAST_TROUBLE_S = 14.0
+"""Latest start of a fault, after the start of the traffic."""
 
 TRAFFIC_S = 22.0
-"""Length of the traffic."""
+"""Duration of the traffic."""
 
 CALM_S = 30.0
-"""Time after the traffic in which all that was accepted is to end."""
+"""Time after the traffic and all faults in which every accepted job must end."""
 
-STANDING_JOBS = 3
-"""Jobs of a day whose tasks last."""
+MAX_STANDING_JOBS = 3
+"""Maximum number of jobs with standing tasks."""
 
-VISIBLE_S = 3.0
-"""Time after its acceptance from which every host knows a job."""
+MAX_VISIBILITY_DELAY_S = 3.0
+"""Time after its acceptance by which every host must know a job."""
 
-COMPARED_S = 1.0
-"""Time between looks at what hosts know of the jobs' halls."""
+COMPARISON_INTERVAL_S = 1.0
+"""Interval between checks of the halls that hosts report for the jobs."""
 
 Trouble = Callable[["OverlappingDay"], Awaitable[None]]
 TROUBLES: dict[str, Trouble] = {}
+"""Kinds of faults by the name of their function; a seed draws from the sorted names, so that
+renaming a function changes the scenarios of all seeds."""
 
 
 def trouble(function: Trouble) -> Trouble:
-    """Register a kind of trouble."""
+    """Register a kind of fault under the name of its function."""
     TROUBLES[function.__name__] = function
     return function
 
 
 class OverlappingDay:
-    """Traffic and troubles of one seed.
+    """The traffic and the faults of one seed.
+
+    Attributes:
+        told: Times and names of the faults that were injected.
 
     Args:
-        seed: Decides all that is drawn.
+        seed: Seed of all random choices.
         halls: Names of the halls.
-        jobs_per_s: New jobs a second.
-        troubles: How many troubles begin.
+        hosts_per_hall: Number of hosts of each hall.
+        jobs_per_s: New jobs per second.
+        troubles: Number of faults.
     """
 
     def __init__(
@@ -72,14 +78,14 @@
         self.told: list[str] = []
 
     async def play(self) -> HallWorld:
-        """Play the day and return its world, with what was broken."""
+        """Run the scenario and return its world, with the violations it found."""
         world = self.world
         await world.begin()
         async with asyncio.TaskGroup() as group:
             group.create_task(self._traffic(group))
             group.create_task(self._compare_halls())
             for _ in range(self._troubles):
-                at = self.random.uniform(TROUBLES_FROM_S, TROUBLES_UNTIL_S)
+                at = self.random.uniform(FIRST_TROUBLE_S, LAST_TROUBLE_S)
                 group.create_task(self._trouble(at))
         world.store.calm()
         world.cuts.clear()
@@ -89,15 +95,15 @@
         return world
 
     async def _compare_halls(self) -> None:
-        """Find hosts that name another hall for a job than the records do."""
+        """Record a violation where a host reports another hall for a job than the records do."""
         loop = asyncio.get_running_loop()
         until = loop.time() + TRAFFIC_S
         while loop.time() < until:
-            await asyncio.sleep(COMPARED_S)
-            books = [
+            await asyncio.sleep(COMPARISON_INTERVAL_S)
+            registries = [
                 (name, running.host.job_registry) for name, running in self.world.hosts.items()
             ]
-            self.world.violations += self.world.one_hall.compare(books)
+            self.world.violations += self.world.one_hall.compare(registries)
 
     async def _trouble(self, at: float) -> None:
         name = self.random.choice(sorted(TROUBLES))
@@ -113,8 +119,8 @@
 
     def _job(self) -> JobSpec:
         random = self.random
-        if self._standing < STANDING_JOBS and random.random() < 0.1:
-            # More tasks than a hall has executors, so that some are lent.
+        if self._standing < MAX_STANDING_JOBS and random.random() < 0.1:
+            # More tasks than a hall has executors, so that some are delegated.
             self._standing += 1
             return self.world.new_job(step(5, cpu=400, standing=True, max_per_executor=1))
         if random.random() < 0.6:
@@ -126,7 +132,7 @@
         return self.world.new_job(first)
 
     async def _caller(self, spec: JobSpec) -> None:
-        """Send a job until it is accepted, and sometimes once more seconds later."""
+        """Submit a job until a host accepts it, and sometimes resubmit it seconds later."""
         world, random = self.world, self.random
         for _ in range(5):
             if not world.hosts:
@@ -143,9 +149,9 @@
                 await world.submit(random.choice(sorted(world.hosts)), spec)
 
     async def _ask(self, job_id: str) -> None:
-        """Ask for an accepted job now and then, at any host."""
+        """Query the state of an accepted job at random hosts and times."""
         world, random = self.world, self.random
-        await asyncio.sleep(VISIBLE_S)
+        await asyncio.sleep(MAX_VISIBILITY_DELAY_S)
         for _ in range(random.randint(0, 12)):
             await asyncio.sleep(random.expovariate(4.0))
             names = sorted(world.hosts)
@@ -154,7 +160,7 @@
                 world.violations.append(f"{now:.2f} LOST {job_id} is not known")
 
     def some_hosts(self) -> list[str]:
-        """Return one host, some hosts, an owner, or all but one or two."""
+        """Return one host, two, an owner, all but two, or all."""
         names = sorted(self.world.hosts)
         if not names:
             return []
@@ -167,7 +173,7 @@
         return self.random.sample(names, max(min(count, len(names)), 1))
 
     async def last(self, low: float, high: float) -> None:
-        """Let a trouble last for a drawn time, in seconds."""
+        """Wait for a random duration in seconds while a fault lasts."""
         await asyncio.sleep(self.random.uniform(low, high))
 
     def _start_missing(self) -> None:
@@ -179,10 +185,10 @@
         world = self.world
         for job_id in sorted(world.accepted):
             steps = world.specs[job_id].steps
-            right = ("running",) if steps[0].standing else ("succeeded", "failed")
+            expected = ("running",) if steps[0].standing else ("succeeded", "failed")
             for name in sorted(world.hosts):
                 state = await world.state(name, job_id)
-                if state not in right:
+                if state not in expected:
                     world.violations.append(f"LOST {job_id} is {state} at {name}")
             if steps[0].standing:
                 self._find_standing(job_id, steps[0].count)
@@ -197,7 +203,7 @@
 
 @trouble
 async def kill(day: OverlappingDay) -> None:
-    """Processes are killed and start again."""
+    """Kill hosts and restart them."""
     victims = day.some_hosts()
     for name in victims:
         if name in day.world.hosts:
@@ -210,7 +216,7 @@
 
 @trouble
 async def freeze(day: OverlappingDay) -> None:
-    """Processes stand still and go on."""
+    """Freeze hosts and resume them."""
     victims = {name: day.world.hosts[name] for name in day.some_hosts()}
     for name in victims:
         day.world.freeze_host(name)
@@ -219,29 +225,29 @@
         day.world.thaw(running)
 
 
-async def _leave_out(day: OverlappingDay, left_out: set[str]) -> None:
-    """Have some hosts among those that the store leaves out, for a while."""
+async def _exclude_hosts(day: OverlappingDay, excluded: set[str]) -> None:
+    """Add some hosts to a set of hosts that the store does not serve, for a random duration."""
     victims = set(day.some_hosts())
-    left_out |= victims
+    excluded |= victims
     await day.last(1.0, 6.0)
-    left_out -= victims
+    excluded -= victims
 
 
 @trouble
 async def turn_away(day: OverlappingDay) -> None:
-    """The store turns some hosts away."""
-    await _leave_out(day, day.world.store.refusing)
+    """Make the store refuse the calls of some hosts."""
+    await _exclude_hosts(day, day.world.store.refusing)
 
 
 @trouble
 async def cut_from_store(day: OverlappingDay) -> None:
-    """Some hosts do not reach the store."""
-    await _leave_out(day, day.world.store.silent)
+    """Cut some hosts off from the store."""
+    await _exclude_hosts(day, day.world.store.silent)
 
 
 @trouble
 async def lose_answers(day: OverlappingDay) -> None:
-    """Answers of the store are lost; what was asked may be done seconds later."""
+    """Lose answers of the store; it may apply the requests seconds later."""
     day.world.store.losing = 0.4
     day.world.store.late = day.random.random() < 0.5
     await day.last(1.0, 4.0)
@@ -250,14 +256,14 @@
 
 @trouble
 async def forget(day: OverlappingDay) -> None:
-    """The store forgets its history."""
+    """Discard the history of all partitions of the store."""
     for partition in day.world.store.partitions:
         day.world.store.forget(partition)
 
 
 @trouble
 async def cut_hall(day: OverlappingDay) -> None:
-    """A hall is cut from the store and from the other halls."""
+    """Cut a hall off from the store and from the other halls."""
     world = day.world
     hall = day.random.choice(world.halls)
     inside = {name for name, other in world.host_names() if other == hall}
@@ -271,7 +277,7 @@
 
 @trouble
 async def late_orders(day: OverlappingDay) -> None:
-    """Executors leave orders unanswered and carry them out late."""
+    """Make executors leave orders unanswered and execute them late."""
     day.world.late_share = 0.1
     day.world.lost_answer_share = 0.05
     await day.last(1.0, 4.0)
@@ -280,7 +286,7 @@
 
 @trouble
 async def crash_executor(day: OverlappingDay) -> None:
-    """An executor crashes and comes back as another incarnation."""
+    """Crash an executor, which starts again as another incarnation."""
     address = day.random.choice(sorted(day.world.executors))
     if day.world.executors[address].alive:
         day.world.crash_executor(address)
@@ -288,7 +294,7 @@
 
 @trouble
 async def roll(day: OverlappingDay) -> None:
-    """Hosts are stopped as planned and started again, one after the other."""
+    """Stop hosts in the planned way and restart them, one after the other."""
     for name, _ in day.world.host_names():
         if name not in day.world.hosts:
             continue
@@ -300,7 +306,7 @@
 
 @trouble
 async def drain_executors(day: OverlappingDay) -> None:
-    """Executors say that they leave, serve on for a while and end; others come."""
+    """Replace executors that announce their departure, keep serving for a while and end."""
     world = day.world
     for address in day.random.sample(sorted(world.executors), 2):
         executor = world.executors[address]
--- a/tests/host/owner_waits.py
+++ b/tests/host/owner_waits.py
@@ -1,4 +1,4 @@
-"""Times and waits that plays of owners in turn share."""
+"""Durations and wait loops that scenarios with several successive owners share."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from linkspan.store.types import Partition
 
 OWNERS = Partition("owners", 0)
-"""Records of the ownership of the first hall."""
+"""Ownership records of the first hall."""
 
 BEGUN_S = 3.0
-"""Time after a submission by which its tasks run, and by which their record is written."""
+"""Time after a submission by which its tasks run and their record is written."""
 
 OUTLIVED_S = 25.0
-"""Time by which all leases of a former owner have surely ended."""
+"""Time in which all leases of a former owner certainly expire."""
 
 LONG_S = 100.0
-"""Length of work that outlasts a play."""
+"""Duration of a task that outlasts a scenario."""
 
-_LOOK_S = 0.01
-"""Time between looks at what is written, or what a host knows."""
+_CHECK_INTERVAL_S = 0.01
+"""Interval between checks of a condition."""
 
 
-async def until(happens: Callable[[], bool], *, limit_s: float, look_s: float = _LOOK_S) -> None:
-    """Wait until something happens, for a limited time.
+async def until(
+    condition: Callable[[], bool], *, limit_s: float, look_s: float = _CHECK_INTERVAL_S
+) -> None:
+    """Wait until a condition holds.
 
     Raises:
-        TimeoutError: It did not happen in time.
+        TimeoutError: The condition did not hold within the limit.
     """
     async with asyncio.timeout(limit_s):
-        while not happens():
+        while not condition():
             await asyncio.sleep(look_s)
--- a/tests/host/recorded_day.py
+++ b/tests/host/recorded_day.py
@@ -1,4 +1,4 @@
-"""Days in the pattern of a recorded one: nearly all hosts lost while answers are lost."""
+"""A scenario modelled on a recorded incident: nearly all hosts die while answers are lost."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class RecordedDay(OverlappingDay):
-    """Traffic of one seed in halls that are full, and the troubles of the record.
+    """Traffic of one seed in full halls, and the faults of the recorded incident.
 
-    Answers of the store are lost; one host does not reach it, another stands still, and
-    all others are killed after that and start again, one second later. The store turns some
-    away then, and the host that stood still goes on.
+    Answers of the store are lost; one host is cut off from the store and another one freezes.
+    All other hosts are then killed and restart one second later. The store refuses some of
+    them, and the frozen host resumes.
 
     Args:
-        seed: Decides all that is drawn.
-        jobs_per_s: New jobs a second.
+        seed: Seed of all random choices.
+        jobs_per_s: New jobs per second.
     """
 
     def __init__(self, seed: int, *, jobs_per_s: float = 6.0) -> None:
         super().__init__(seed, hosts_per_hall=2, jobs_per_s=jobs_per_s, troubles=0)
 
     async def _traffic(self, group: asyncio.TaskGroup) -> None:
-        group.create_task(self._recorded())
+        group.create_task(self._inject_recorded_faults())
         await super()._traffic(group)
 
     def _job(self) -> JobSpec:
@@ -36,20 +36,20 @@
             return self.world.new_job(first, later)
         return self.world.new_job(first)
 
-    async def _recorded(self) -> None:
+    async def _inject_recorded_faults(self) -> None:
         world, random = self.world, self.random
         names = sorted(world.hosts)
-        still, away = random.sample(names, 2)
+        frozen, cut_off = random.sample(names, 2)
         await asyncio.sleep(random.uniform(3.0, 5.0))
         world.store.losing = random.uniform(0.2, 0.8)
         world.store.late = random.random() < 0.5
-        world.store.silent.add(away)
+        world.store.silent.add(cut_off)
         await self.last(2.0, 4.0)
-        running = world.hosts[still]
-        world.freeze_host(still)
+        running = world.hosts[frozen]
+        world.freeze_host(frozen)
         await self.last(0.0, 0.5)
         for name in names:
-            if name not in (still, away):
+            if name not in (frozen, cut_off):
                 world.kill_host(name)
         world.store.losing = 0.0
         await self.last(0.7, 1.2)
@@ -62,4 +62,4 @@
         world.store.refusing.clear()
         world.thaw(running)
         await self.last(0.5, 1.5)
-        world.store.silent.discard(away)
+        world.store.silent.discard(cut_off)
--- a/tests/host/removed_queue_day.py
+++ b/tests/host/removed_queue_day.py
@@ -1,6 +1,6 @@
-"""A drawn day on which the operator removes the queue of jobs that run, and owners change.
+"""A random scenario in which the operator removes the queue of running jobs, and owners change.
 
-Some jobs are accepted for a hall that has no room: these move whole to the other one.
+Some jobs are accepted for a hall without capacity and move as a whole to the other hall.
 """
 
 from __future__ import annotations
@@ -22,33 +22,33 @@
 HALLS = "east", "west"
 
 FAILING_SHARE = 0.08
-"""Share of failing runs: of jobs of a few tasks some fail once, and hardly one as often as the
-queue allows."""
+"""Share of failing runs: some jobs of a few tasks have one failed run, and hardly any as many as
+the queue allows."""
 
-JOBS_OF_A_DAY = 14
-"""Jobs of some tasks that are on their way when the queue goes."""
+JOB_COUNT = 14
+"""Number of jobs that are unfinished when the queue is removed."""
 
 MISPLACED_SHARE = 0.4
-"""Share of them that are accepted for the first hall, which has no room."""
+"""Share of these jobs that are accepted for the first hall, which has no capacity."""
 
 LONG_S = 12.0
-"""Length of the work that fills the first hall until after the queue is removed."""
+"""Duration of the tasks that fill the first hall until after the queue is removed."""
 
-CHANGES = 3
-"""Times at which an owner goes after the queue did."""
+OWNER_CHANGES = 3
+"""Number of owners that end after the queue is removed."""
 
 SETTLED_S = 60.0
-"""Time in which all jobs end."""
+"""Time in which all jobs end after the last change of an owner."""
 
 
 @dataclass
 class RemovedQueue:
-    """What a day left.
+    """The outcome of a scenario.
 
     Attributes:
         world: The deployment.
-        jobs: Its jobs.
-        states: How these are shown at the end.
+        jobs: The submitted jobs.
+        states: Their final states.
     """
 
     world: HallWorld
@@ -57,13 +57,13 @@
 
     @property
     def moved(self) -> int:
-        """How often a job went whole to another hall."""
+        """Number of moves of a whole job to the other hall."""
         jobs = {spec.job_id for spec in self.jobs}
         return sum(line["job"] in jobs for line in self.world.log.named("WORK_HANDED_OVER"))
 
 
 async def removed_queue(seed: int) -> RemovedQueue:
-    """Play a day in two halls, the first of which is full until the queue is removed."""
+    """Run jobs in two halls, the first of which is full until the queue is removed."""
     random = Random(seed)
     world = HallWorld(
         halls=HALLS, seed=seed, failing_share=FAILING_SHARE, lists_machines=random.random() < 0.5
@@ -71,9 +71,9 @@
     await world.begin()
     full = step(3, cpu=world.milli_cpu - 500, estimate_s=LONG_S, max_per_executor=1)
     _accept_for_first(world, world.new_job(full))
-    # Until halls know of each other.
+    # Until the halls have received each other's announcements.
     await asyncio.sleep(3.0)
-    jobs = [_job(world, random) for _ in range(JOBS_OF_A_DAY)]
+    jobs = [_job(world, random) for _ in range(JOB_COUNT)]
     for spec in jobs:
         if random.random() < MISPLACED_SHARE:
             _accept_for_first(world, spec)
@@ -82,7 +82,7 @@
         await asyncio.sleep(random.uniform(0.0, 0.1))
     await asyncio.sleep(random.uniform(0.0, 1.0))
     _remove_queue(world)
-    for _ in range(CHANGES):
+    for _ in range(OWNER_CHANGES):
         await asyncio.sleep(random.uniform(0.0, 3.0))
         await _change_owner(world, random)
     await asyncio.sleep(SETTLED_S)
@@ -99,7 +99,7 @@
 
 
 def _accept_for_first(world: HallWorld, spec: JobSpec) -> None:
-    """Have a job accepted for the first hall, as by a host with old news of its room."""
+    """Accept a job for the first hall, as a host with an outdated view of its capacity does."""
     world.specs[spec.job_id] = spec
     world.accepted.add(spec.job_id)
     world.store.put(JOBS, *encode(accepted(spec, world.queue)))
@@ -117,7 +117,7 @@
 
 
 async def _change_owner(world: HallWorld, random: Random) -> None:
-    """Kill the owner of a hall's shard, or stop it as planned; it is back moments later."""
+    """Kill the owner of a shard, or stop it in the planned way; it restarts soon after."""
     owner = world.owner(random.randrange(len(HALLS)))
     if owner is None:
         return
@@ -126,9 +126,9 @@
         world.kill_host(owner)
     else:
         await world.remove_host(owner)
-    later(random.uniform(0.2, 2.0), _come_back, world, owner)
+    later(random.uniform(0.2, 2.0), _restart_host, world, owner)
 
 
-def _come_back(world: HallWorld, name: str) -> None:
+def _restart_host(world: HallWorld, name: str) -> None:
     if name not in world.hosts:
         world.start_host(name)
--- a/tests/host/restarting_day.py
+++ b/tests/host/restarting_day.py
@@ -1,4 +1,4 @@
-"""A day on which executors fall and start again under their id, and what came of it."""
+"""A scenario in which executors crash and restart under the same id, and its outcome."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from tests.hall_world import HallWorld
 from tests.job_builders import step
 
-JOBS = 60
-"""Jobs of a day that end."""
+JOB_COUNT = 60
+"""Number of jobs without standing tasks."""
 
-BETWEEN_S = 0.15
-"""Time between two jobs."""
+SUBMISSION_INTERVAL_S = 0.15
+"""Interval between two submissions."""
 
 FALL_AT_S = 4.0
-"""Time after the first job at which executors fall: they have told of some ends by then."""
+"""Time of the first crash after the first job: executors have reported some ends by then."""
 
 SETTLED_S = 35.0
-"""Time after the last job by which all is done: each lease of before has ended thrice."""
+"""Time after the last job in which all work ends: more than three times the longest lease."""
 
 AHEAD_S = 1e5
-"""What a clock shows that begins ahead of all clocks before it."""
+"""Start of a clock that is ahead of the clocks of all previous incarnations."""
 
 
 @dataclass
 class Restarts:
-    """How executors start again.
+    """How executors crash and restart.
 
     Attributes:
-        addresses: Which of them do.
-        down_s: Time for which they are away.
-        clock_s: What their clocks show then; ``None`` for clocks that went on.
-        times: How often they fall.
-        every_s: Time between two falls.
-        beside: Called when they fall.
-        at_s: Time after the first job at which they fall first.
+        addresses: Addresses of the executors that crash.
+        down_s: Time between a crash and the restart.
+        clock_s: Time that their clocks show after the restart; ``None`` for clocks that continue.
+        times: Number of crashes.
+        every_s: Interval between two crashes.
+        beside: Function that is called at each crash.
+        at_s: Time of the first crash after the first job.
     """
 
     addresses: tuple[str, ...] = ("east-0:1", "east-1:1")
@@ -52,15 +52,15 @@
 
 @dataclass
 class RestartingDay:
-    """What a day left.
+    """The outcome of a scenario.
 
     Attributes:
-        world: The deployment, with what was broken.
+        world: The deployment, with the violations it found.
         standing: Standing tasks.
-        jobs: Jobs that end.
-        states: How these are shown at the end.
-        running: Tasks that run then.
-        idle: Addresses of executors that started nothing in their last life.
+        jobs: Jobs without standing tasks.
+        states: Final states of these jobs.
+        running: Tasks that run at the end.
+        idle: Addresses of executors whose last incarnation started nothing.
     """
 
     world: HallWorld
@@ -71,7 +71,7 @@
     idle: list[str] = field(default_factory=list)
 
     def look(self) -> None:
-        """See what runs now, and which executors were never used."""
+        """Set ``running`` and ``idle`` from the present state of the executors."""
         up = [e for e in self.world.executors.values() if e.alive]
         for executor in up:
             executor.advance()
@@ -82,19 +82,19 @@
 async def play(
     restarts: Restarts,
     *,
-    jobs: int = JOBS,
+    jobs: int = JOB_COUNT,
     tasks: int = 4,
     length_s: float = 0.6,
     **fields: object,
 ) -> RestartingDay:
-    """Play a day in one hall, or in as many as are asked for.
+    """Run a scenario in one hall, or in as many as ``fields`` gives.
 
     Args:
-        restarts: How executors start again.
-        jobs: How many jobs that end come in.
-        tasks: How many tasks each job has.
-        length_s: How long they take.
-        fields: What else the deployment has.
+        restarts: How executors crash and restart.
+        jobs: Number of jobs without standing tasks.
+        tasks: Number of tasks of each job.
+        length_s: Duration of each task.
+        fields: Further fields of the deployment.
     """
     world = HallWorld(**{"seed": 9, **fields})  # type: ignore[arg-type]
     await world.begin()
@@ -105,21 +105,21 @@
         assert await world.submit(host, spec) == 200
         day.standing.append(TaskName(spec.job_id, 0, 0, 0))
     async with asyncio.TaskGroup() as group:
-        group.create_task(_fall(world, restarts))
+        group.create_task(_crash_repeatedly(world, restarts))
         for _ in range(jobs):
             spec = world.new_job(step(tasks, estimate_s=length_s))
-            group.create_task(_send(world, spec))
+            group.create_task(_submit_until_accepted(world, spec))
             day.jobs.append(spec)
-            await asyncio.sleep(BETWEEN_S)
+            await asyncio.sleep(SUBMISSION_INTERVAL_S)
     await asyncio.sleep(SETTLED_S)
-    asked = next(iter(world.hosts))
-    day.states = [await world.state(asked, spec.job_id) for spec in day.jobs]
+    queried = next(iter(world.hosts))
+    day.states = [await world.state(queried, spec.job_id) for spec in day.jobs]
     day.look()
     return day
 
 
-async def _send(world: HallWorld, spec: JobSpec) -> None:
-    """Send a job until it is accepted."""
+async def _submit_until_accepted(world: HallWorld, spec: JobSpec) -> None:
+    """Submit a job repeatedly until a host accepts it."""
     while True:
         for name in sorted(world.hosts):
             if await world.submit(name, spec) == 200:
@@ -127,7 +127,7 @@
         await asyncio.sleep(0.5)
 
 
-async def _fall(world: HallWorld, restarts: Restarts) -> None:
+async def _crash_repeatedly(world: HallWorld, restarts: Restarts) -> None:
     await asyncio.sleep(restarts.at_s)
     for _ in range(restarts.times):
         for address in restarts.addresses:
--- a/tests/host/restarting_troubles.py
+++ b/tests/host/restarting_troubles.py
@@ -1,4 +1,4 @@
-"""Days of drawn troubles among which executors start again under their id."""
+"""Random scenarios of overlapping faults, among them restarts of executors under the same id."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 from tests.host.overlapping_day import OverlappingDay
 
 RESTART_SHARE = 0.6
-"""Share of the troubles that are restarts of executors."""
+"""Share of the faults that are restarts of executors."""
 
-DOWN_S = (0.01, 0.1, 0.5, 1.2, 3.0, ENTRY_GOES_S + 1.0)
-"""Times for which executors are away: below and above what a look, a machine list and an entry
-take to tell."""
+DOWN_DURATIONS_S = (0.01, 0.1, 0.5, 1.2, 3.0, ENTRY_GOES_S + 1.0)
+"""Times between a crash and the restart: shorter and longer than it takes to detect the crash by a
+poll, by the machine list and by the registry entry."""
 
-CLOCKS_S = (0.0, None, 1e5)
-"""What clocks show that begin behind, go on, or begin ahead."""
+CLOCK_STARTS_S = (0.0, None, 1e5)
+"""Starts of clocks that are behind, continue, or are ahead."""
 
-LEAST_CRASHES = 2
-"""Executors that must have crashed under a task before its job may be shown as failed."""
+MIN_CRASHES_TO_FAIL = 2
+"""Minimum number of executors that crashed under a task before its job may fail."""
 
-MOST_FALLS = 4
-"""Falls of one executor in a row."""
+MAX_CONSECUTIVE_CRASHES = 4
+"""Maximum number of consecutive crashes of one executor."""
 
 
 class RestartingTroubles(OverlappingDay):
-    """A day of overlapping troubles with restarts among them.
+    """A scenario of overlapping faults with restarts among them.
+
+    Attributes:
+        given_up: Failed jobs under which executors crashed often enough.
 
     Args:
-        seed: Decides all that is drawn.
+        seed: Seed of all random choices.
     """
 
     def __init__(self, seed: int) -> None:
@@ -47,9 +50,9 @@
         self.world.trouble()
         addresses = self._addresses()
         cut = self._cut(addresses) if self.random.random() < 0.3 else set()
-        clock_s = self.random.choice(CLOCKS_S)
-        for _ in range(self.random.randint(1, MOST_FALLS)):
-            down_s = self.random.choice(DOWN_S)
+        clock_s = self.random.choice(CLOCK_STARTS_S)
+        for _ in range(self.random.randint(1, MAX_CONSECUTIVE_CRASHES)):
+            down_s = self.random.choice(DOWN_DURATIONS_S)
             for address in addresses:
                 if self.world.executors[address].alive:
                     self.world.restart_executor(address, down_s=down_s, clock_s=clock_s)
@@ -57,19 +60,19 @@
         self.world.cuts -= cut
 
     async def _ask_for_all(self) -> None:
-        """Ask for all jobs; one that executors crashed under twice may be given up."""
+        """Check all jobs; a job may fail if two executors crashed under one of its tasks."""
         world = self.world
         under = world.crashing.under
         name = min(world.hosts)
         for job_id in sorted(world.accepted):
             crashes = max((n for task, n in under.items() if task.job_id == job_id), default=0)
-            if crashes >= LEAST_CRASHES and await world.state(name, job_id) == "failed":
+            if crashes >= MIN_CRASHES_TO_FAIL and await world.state(name, job_id) == "failed":
                 world.accepted.discard(job_id)
                 self.given_up.append(job_id)
         await super()._ask_for_all()
 
     def _addresses(self) -> list[str]:
-        """Return one executor, a few of all halls, or all of one hall."""
+        """Return the address of one executor, of four of any hall, or of all of one hall."""
         addresses = sorted(self.world.executors)
         kind = self.random.choice(("one", "few", "hall"))
         if kind == "hall":
@@ -78,7 +81,7 @@
         return self.random.sample(addresses, 1 if kind == "one" else 4)
 
     def _cut(self, addresses: list[str]) -> set[tuple[str, str]]:
-        """Cut executors from all hosts: they start again behind the cut."""
+        """Cut executors off from all hosts, so that they restart while they are unreachable."""
         names = [name for name, _ in self.world.host_names()]
         cut = {(name, address) for name in names for address in addresses}
         self.world.cuts |= cut
@@ -86,22 +89,26 @@
 
 
 LATE_SHARE = 0.1
-"""Share of orders that are carried out late where next lives get them."""
+"""Share of orders that are executed late, possibly by the next incarnation."""
 
-LATE_MOST_S = 4.0
-"""Longest time for which such an order is on its way."""
+MAX_ORDER_DELAY_S = 4.0
+"""Maximum delay of such an order."""
 
 
 async def drawn_late(seed: int) -> tuple[HallWorld, list[str]]:
-    """Play a drawn day on which orders on their way come to whoever has the id by then."""
+    """Run a scenario in which delayed orders reach the incarnation that has the id on arrival.
+
+    Returns:
+        The world, and the times and names of the faults.
+    """
     day = RestartingTroubles(seed)
     day.world.late_to_next_life = True
     day.world.late_share = LATE_SHARE
-    day.world.late_most_s = LATE_MOST_S
+    day.world.late_most_s = MAX_ORDER_DELAY_S
     return await day.play(), day.told
 
 
 async def drawn(seed: int) -> tuple[HallWorld, list[str]]:
-    """Play a drawn day and return its world, and the troubles that it had."""
+    """Run a scenario and return its world, and the times and names of the faults."""
     day = RestartingTroubles(seed)
     return await day.play(), day.told
--- a/tests/host/returning_day.py
+++ b/tests/host/returning_day.py
@@ -1,6 +1,6 @@
-"""Plays in which an executor is cut off till it is out of the books, and comes back as it was.
+"""Scenarios in which an executor is cut off until its owner removes it, and then reconnects.
 
-In the same life it lists again what nobody has acknowledged.
+The incarnation is the same, so that it reports the unacknowledged ends again.
 """
 
 from __future__ import annotations
@@ -22,45 +22,45 @@
 from tests.virtual_time import world_time
 
 PROGRESS = "progress"
-"""Topic of the records of what became of tasks."""
+"""Topic of the progress records of tasks."""
 
-FIRST_S = 0.6, 2.0
-"""How long the first run of a task lasts whose end is told twice or late."""
+FIRST_RUN_RANGE_S = 0.6, 2.0
+"""Range of durations of the first run, whose end is reported twice or late."""
 
-OUT_OF_BOOKS_S = 12.0
-"""Time after which a cut-off executor's leases and its entry are gone, and its owner knows."""
+REMOVED_AFTER_S = 12.0
+"""Time in which the leases and the entry of a cut-off executor expire and its owner removes it."""
 
-WRITE_LOST_S = 0.1, 0.9
-"""How long writes are lost."""
+WRITE_LOSS_RANGE_S = 0.1, 0.9
+"""Range of durations for which writes are lost."""
 
-RETURNED_S = 8.0
-"""Time after an executor's return in which it has been heard."""
+MAX_REPORT_DELAY_S = 8.0
+"""Time in which the owner receives a report of a reconnected executor."""
 
 LONG_S = 60.0
-"""Length of a run that nothing ends in a play."""
+"""Duration of a run that outlasts a scenario."""
 
-SECOND_S = 14.0
-"""Length of a second run: the executor of the first one is back, and heard, before its end."""
+SECOND_RUN_S = 14.0
+"""Duration of a second run: the executor of the first run reconnects and reports before its end."""
 
 SETTLED_S = 20.0
-"""Time after all else in which jobs end."""
+"""Time in which jobs end after all other events."""
 
 
 @dataclass
 class ReturningWorld(LapsingWorld):
-    """A deployment whose executors are cut off, as the queue's tasks may fail twice.
+    """A deployment whose executors are cut off, with a queue that allows two attempts.
 
     Attributes:
-        failing: How many first runs of a task fail.
-        lengths_s: How long runs of these tasks last, by how many there were, the last for all more.
-        on_failed: Called when one fails.
-        lost: How writes of progress are lost, if they are.
+        failing: Number of runs of a task that fail before the first success.
+        durations_s: Durations of the runs of these tasks in order; the last one repeats.
+        on_failed: Function that is called when such a run fails.
+        write_loss: How writes of progress are lost; empty if they are not.
     """
 
     failing: dict[TaskName, int] = field(default_factory=dict)
-    lengths_s: tuple[float, ...] = (1.0,)
+    durations_s: tuple[float, ...] = (1.0,)
     on_failed: Callable[[MemoryExecutor], None] = lambda _executor: None
-    lost: str = ""
+    write_loss: str = ""
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -69,7 +69,7 @@
     def running_time(self, task: TaskName) -> float:
         if task not in self.failing:
             return super().running_time(task)
-        return self.lengths_s[min(len(self.starts[task]), len(self.lengths_s)) - 1]
+        return self.durations_s[min(len(self.starts[task]), len(self.durations_s)) - 1]
 
     def fails(self, task: TaskName, run: int) -> bool:
         return len(self.starts[task]) <= self.failing.get(task, 0)
@@ -80,13 +80,13 @@
             self.on_failed(executor)
 
     def cut_off(self, executor: MemoryExecutor) -> None:
-        """Cut an executor off from all hosts and from the store, where its entry goes."""
+        """Cut an executor off from all hosts and from the store, where its entry expires."""
         self.trouble()
         self.cuts |= {(name, executor.record.address) for name, _ in self.host_names()}
         later(ENTRY_GOES_S, self.forget_registration, executor)
 
-    def reach_again(self, executor: MemoryExecutor) -> None:
-        """Let a cut-off executor be reached, and its entry be back."""
+    def reconnect(self, executor: MemoryExecutor) -> None:
+        """Reconnect a cut-off executor and restore its entry."""
         self.trouble()
         self.cuts -= {(name, executor.record.address) for name, _ in self.host_names()}
         self.register(executor)
@@ -95,20 +95,22 @@
         return _LosingLink(self.store, host, self)
 
     def lose_writes(self, how: str) -> None:
-        """Let the store not take progress, or take it without an answer, at once or late.
+        """Lose writes of progress; writes of other topics, such as ownership, are unaffected.
 
-        An empty word ends that. Who owns the shard is written as ever.
+        Args:
+            how: ``untaken`` if the store does not apply them, ``unanswered`` or ``late`` if it
+                applies them at once or late without an answer; empty to end the loss.
         """
-        self.lost = how
+        self.write_loss = how
         self.store.late = how == "late"
 
-    def where(self, task: TaskName) -> list[MemoryExecutor]:
-        """Return the executors that run a task."""
+    def executors_running(self, task: TaskName) -> list[MemoryExecutor]:
+        """Return the live executors that run a task."""
         return [e for e in self.executors.values() if e.alive and task in e.running]
 
 
 class _LosingLink(StoreLink):
-    """One host's way to the store, on which writes of progress may be lost."""
+    """One host's connection to the store, on which writes of progress may be lost."""
 
     def __init__(self, store: MemoryStore, host: str, world: ReturningWorld) -> None:
         super().__init__(store, host)
@@ -122,23 +124,23 @@
         at: int | None = None,
         producer: Producer | None = None,
     ) -> Appended:
-        if partition.topic != PROGRESS or not self._world.lost:
+        if partition.topic != PROGRESS or not self._world.write_loss:
             return await super().append(partition, records, at=at, producer=producer)
-        if self._world.lost != "untaken":
+        if self._world.write_loss != "untaken":
             await self._lose(partition, records, at, producer)
         await asyncio.sleep(TIMEOUT_S)
         raise StoreUnanswered("silence")
 
 
 @dataclass
-class Returned:
-    """What a play left.
+class ReturningOutcome:
+    """The outcome of a scenario.
 
     Attributes:
         world: The deployment.
         task: The task that failed.
-        state: How its job is shown at the end.
-        owners: How many tenures there were.
+        state: Final state of its job.
+        owners: Number of tenures.
     """
 
     world: ReturningWorld
@@ -148,14 +150,14 @@
 
 
 async def _begin(random: Random, failing: int) -> tuple[ReturningWorld, TaskName]:
-    """Return a hall that runs a task that fails at first, beside a wide job."""
+    """Start a hall that runs a task whose first runs fail, and a wide job at the same time."""
     world = ReturningWorld(
         seed=random.randrange(1000), hosts_per_hall=2, lists_machines=random.random() < 0.5
     )
     await world.begin()
-    # Beside many others of its step, a long run would be moved.
+    # In a step of many tasks, a long run would be moved.
     width = random.randint(1, 2)
-    spec = world.new_job(step(width, cpu=1_500, estimate_s=SECOND_S))
+    spec = world.new_job(step(width, cpu=1_500, estimate_s=SECOND_RUN_S))
     task = TaskName(spec.job_id, 0, 0, random.randrange(width))
     world.failing[task] = failing
     assert await world.submit("east-host-0", world.new_job(step(12, estimate_s=2.0))) == 200
@@ -163,48 +165,48 @@
     return world, task
 
 
-async def _end(world: ReturningWorld, task: TaskName) -> Returned:
+async def _outcome(world: ReturningWorld, task: TaskName) -> ReturningOutcome:
     state = await world.state(next(iter(world.hosts)), task.job_id)
-    return Returned(world, task, state, len(world.log.named("OWNER_CLAIMED")))
+    return ReturningOutcome(world, task, state, len(world.log.named("OWNER_CLAIMED")))
 
 
-async def told_twice(seed: int) -> Returned:
-    """Let an owner hear a failed end, lose the write of its count, and hear the end again.
+async def told_twice(seed: int) -> ReturningOutcome:
+    """Report a failed end twice to one owner, which lost the write of the first count.
 
-    The executor is cut off before the end is acknowledged. One owner throughout.
+    The executor is cut off before the end is acknowledged. The owner does not change.
     """
     random = Random(seed)
     world, task = await _begin(random, 1)
-    world.lengths_s = random.uniform(*FIRST_S), LONG_S
+    world.durations_s = random.uniform(*FIRST_RUN_RANGE_S), LONG_S
     how = random.choice(("untaken", "unanswered", "late"))
-    away_s = OUT_OF_BOOKS_S + random.uniform(0.0, 4.0)
+    away_s = REMOVED_AFTER_S + random.uniform(0.0, 4.0)
 
     def on_failed(executor: MemoryExecutor) -> None:
         world.lose_writes(how)
-        lost_s = random.uniform(*WRITE_LOST_S)
+        lost_s = random.uniform(*WRITE_LOSS_RANGE_S)
         later(lost_s, world.lose_writes, "")
-        # Heard by then, and not acknowledged yet.
+        # The owner has received the end by then and has not acknowledged it yet.
         later(random.uniform(0.02, lost_s), world.cut_off, executor)
-        later(lost_s + away_s, world.reach_again, executor)
+        later(lost_s + away_s, world.reconnect, executor)
 
     world.on_failed = on_failed
-    await asyncio.sleep(FIRST_S[1] + away_s + RETURNED_S)
-    for executor in world.where(task):
+    await asyncio.sleep(FIRST_RUN_RANGE_S[1] + away_s + MAX_REPORT_DELAY_S)
+    for executor in world.executors_running(task):
         executor.running[task].ends_at = world_time()
     await asyncio.sleep(SETTLED_S)
-    return await _end(world, task)
+    return await _outcome(world, task)
 
 
-async def told_late(seed: int) -> Returned:
-    """Let a run fail that nobody hears, be given up by lapse, and be told beside the next one.
+async def told_late(seed: int) -> ReturningOutcome:
+    """Report a failed run only after its lease has expired and the next run has started.
 
     The owner may change between the two.
     """
     random = Random(seed)
     world, task = await _begin(random, 9)
-    world.lengths_s = random.uniform(*FIRST_S), SECOND_S
-    await asyncio.sleep(random.uniform(0.3, 0.9) * world.lengths_s[0])
-    (first,) = world.where(task)
+    world.durations_s = random.uniform(*FIRST_RUN_RANGE_S), SECOND_RUN_S
+    await asyncio.sleep(random.uniform(0.3, 0.9) * world.durations_s[0])
+    (first,) = world.executors_running(task)
     world.cut_off(first)
     async with asyncio.timeout(60.0):
         while len(world.starts[task]) < 2:
@@ -212,16 +214,16 @@
     await asyncio.sleep(random.uniform(0.05, 2.0))
     await _change_owner(world, random.choice(("", "killed", "removed")))
     await asyncio.sleep(random.uniform(0.0, 3.0))
-    world.reach_again(first)
-    await asyncio.sleep(SECOND_S + SETTLED_S)
-    return await _end(world, task)
+    world.reconnect(first)
+    await asyncio.sleep(SECOND_RUN_S + SETTLED_S)
+    return await _outcome(world, task)
 
 
 async def renewed_after(back_s: float) -> bool:
-    """Return whether an executor is heard, and its lease renewed, that left its owner's books.
+    """Return whether the owner renews the lease of an executor that it had removed.
 
     Args:
-        back_s: Time between its leaving and its return, in the same life.
+        back_s: Time between the removal and the reconnection of the same incarnation.
     """
     world = ReturningWorld(lists_machines=False)
     await world.begin()
@@ -233,8 +235,8 @@
         while not world.log.named("EXECUTOR_CRASHED"):
             await asyncio.sleep(0.01)
     await asyncio.sleep(back_s)
-    world.reach_again(executor)
-    await asyncio.sleep(RETURNED_S)
+    world.reconnect(executor)
+    await asyncio.sleep(MAX_REPORT_DELAY_S)
     return executor.clock < executor.until
 
 
--- a/tests/host/short_work.py
+++ b/tests/host/short_work.py
@@ -1,4 +1,4 @@
-"""Builders for tests of what executors' entries mean: standing work, and short work beside it."""
+"""Builders of standing and short work for tests of the executors' registry entries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def begin(world: HallWorld, *, standing: int = 0) -> None:
-    """Begin with standing tasks, one an executor, at work."""
+    """Start the world and run standing tasks, one per executor."""
     await world.begin()
     if not standing:
         return
@@ -20,13 +20,13 @@
 
 
 def at_work(world: HallWorld) -> int:
-    """Count the runs that go on."""
+    """Return the number of runs that are not being stopped."""
     alive = (e for e in world.executors.values() if e.alive)
     return sum(not run.stopping for e in alive for run in e.running.values())
 
 
 async def run_short(world: HallWorld, count: int) -> float:
-    """Run a job of short tasks and return the time until it has succeeded."""
+    """Run a job of short tasks and return the time until it succeeds."""
     spec = world.new_job(step(count, estimate_s=0.5))
     began = asyncio.get_running_loop().time()
     assert await world.submit("east-host-0", spec) == 200
@@ -35,6 +35,6 @@
 
 
 def assert_each_began_once(world: HallWorld, tasks: int) -> None:
-    """Assert that no promise was broken, and that each of so many tasks began once."""
+    """Assert that there is no violation and that each of the given number of tasks started once."""
     assert world.problems == []
     assert [len(times) for times in world.starts.values()] == [1] * tasks
--- a/tests/host/falling_day.py
+++ b/tests/host/single_crashes_day.py
@@ -1,4 +1,4 @@
-"""A day on which the executors of a small hall fall in turn, and nothing crashes them."""
+"""A scenario in which the executors of a small hall crash one by one, never because of a task."""
 
 from __future__ import annotations
 
@@ -9,50 +9,52 @@
 from tests.hall_world import HallWorld
 from tests.job_builders import step
 
-JOBS = 60
+JOB_COUNT = 60
 
-FALLS = 6
+CRASH_COUNT = 6
 
 SETTLED_S = 30.0
-"""Time after the last job by which all is done: each lease of before has ended thrice."""
+"""Time after the last job in which all work ends: three times the longest lease."""
 
 
 @dataclass
-class FallingDay:
-    """What a day left.
+class SingleCrashesOutcome:
+    """The outcome of a scenario.
 
     Attributes:
-        world: The deployment, with what was broken.
-        failed: Jobs that were shown as failed at the end.
+        world: The deployment, with the violations it found.
+        failed: Jobs whose final state is failed.
     """
 
     world: HallWorld
     failed: list[str] = field(default_factory=list)
 
 
-async def play(seed: int) -> FallingDay:
-    """Play a day of short jobs, a quarter of whose runs fail, beside falls of single executors."""
+async def play(seed: int) -> SingleCrashesOutcome:
+    """Run short jobs, a quarter of whose runs fail, while single executors crash."""
     draw = Random(seed)
     world = HallWorld(seed=seed, failing_share=0.25)
     world.resets = draw.random() < 0.5
     await world.begin()
-    sending = asyncio.create_task(_send(world, draw))
+    submissions = asyncio.create_task(_submit_jobs(world, draw))
     await asyncio.sleep(2.0)
-    for _ in range(FALLS):
+    for _ in range(CRASH_COUNT):
         world.trouble()
         address = draw.choice(list(world.executors))
         if world.executors[address].alive:
             world.restart_executor(address, down_s=draw.choice((0.01, 0.5, 2.0)), clock_s=0.0)
         await asyncio.sleep(draw.choice((1.5, 3.0, 6.0)))
-    await sending
+    await submissions
     await asyncio.sleep(SETTLED_S)
-    asked = next(iter(world.hosts))
-    states = {job_id: await world.state(asked, job_id) for job_id in world.specs}
-    return FallingDay(world, [job_id for job_id, state in states.items() if state == "failed"])
+    host = next(iter(world.hosts))
+    states = {job_id: await world.state(host, job_id) for job_id in world.specs}
+    return SingleCrashesOutcome(
+        world, [job_id for job_id, state in states.items() if state == "failed"]
+    )
 
 
-async def _send(world: HallWorld, draw: Random) -> None:
-    for _ in range(JOBS):
+async def _submit_jobs(world: HallWorld, draw: Random) -> None:
+    for _ in range(JOB_COUNT):
         gang = draw.random() < 0.35
         count = draw.choice((2, 3)) if gang else draw.choice((1, 1, 2, 4))
         estimate_s = draw.choice((0.3, 1.0, 2.0))
--- a/tests/host/standing_day.py
+++ b/tests/host/standing_day.py
@@ -1,4 +1,4 @@
-"""A day of drawn troubles with halls nearly full of standing tasks, and a watch over them."""
+"""A random scenario in halls nearly full of standing tasks, which a monitor checks."""
 
 from __future__ import annotations
 
@@ -16,61 +16,63 @@
 from tests.job_builders import step
 
 STANDING_SHARE = 0.3
-"""Share of the jobs whose tasks last, up to the next bound."""
+"""Share of the jobs that have standing tasks, up to ``MAX_STANDING_JOBS``."""
 
-MOST_STANDING = 9
-"""Jobs whose tasks last: with these drawn sizes they take about nine tenths of the cores."""
+MAX_STANDING_JOBS = 9
+"""Maximum number of jobs with standing tasks: with these sizes they take about nine tenths of the
+cores."""
 
 MISPLACED_SHARE = 0.6
-"""Share of them that are accepted for any hall, as by a host with old news of the halls' room:
-the full ones among these move them away."""
+"""Share of these jobs that are accepted for a random hall, as by a host with an outdated view of
+the halls' capacity; full halls move them away."""
 
-LOSSES = 5
-"""Executors that are lost one after the other once the drawn troubles are over."""
+CRASH_COUNT = 5
+"""Number of executors that crash one after the other after the random faults."""
 
-LOST_FOR_S = 2.5
-"""Time after which another executor takes such a one's place: tasks are lent before."""
+REPLACEMENT_DELAY_S = 2.5
+"""Time until an executor replaces a crashed one; tasks are delegated before that."""
 
-WATCH_S = 0.5
-"""Time between looks at which tasks are at work."""
+CHECK_INTERVAL_S = 0.5
+"""Interval between checks of the running tasks."""
 
 SETTLE_S = 8.0
-"""Time from the drawn troubles on in which owners may still be found and reports come in."""
+"""Time after the random faults in which hosts may still find owners and receive reports."""
 
-IDLE_S = 8.0
-"""Longest time for which a task may be away beside room: it may be lent to two other halls
-in vain first, each of which keeps it for two seconds, and a takeover may be under way."""
+MAX_IDLE_S = 8.0
+"""Longest time for which a task may not run although there is capacity: it may be delegated to two
+other halls in vain first, each of which keeps it for two seconds, and a takeover may be in
+progress."""
 
-ROOM_FOR = 2
-"""Tasks for which there must be room before one that is away counts as forgotten."""
+MIN_FREE_SLOTS = 2
+"""Number of tasks for which there must be capacity before a task that does not run is reported."""
 
 
 class StandingDay(OverlappingDay):
-    """A day in which no standing task that has run is forgotten.
+    """A scenario in which every standing task that has run must keep running.
 
     Args:
-        seed: Decides all that is drawn.
+        seed: Seed of all random choices.
     """
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self._calm_at = float("inf")
-        self._away_since: dict[TaskName, float] = {}
-        self._told: set[TaskName] = set()
+        self._checks_from = float("inf")
+        self._not_running_since: dict[TaskName, float] = {}
+        self._reported: set[TaskName] = set()
 
     async def play(self) -> HallWorld:
-        """Play the day and return its world, with what was broken."""
-        watch = asyncio.create_task(self._watch())
+        """Run the scenario and return its world, with the violations it found."""
+        monitor = asyncio.create_task(self._monitor())
         try:
             return await super().play()
         finally:
-            watch.cancel()
+            monitor.cancel()
             with suppress(asyncio.CancelledError):
-                await watch
+                await monitor
 
     def _job(self) -> JobSpec:
         random = self.random
-        if self._standing >= MOST_STANDING or random.random() >= STANDING_SHARE:
+        if self._standing >= MAX_STANDING_JOBS or random.random() >= STANDING_SHARE:
             return super()._job()
         self._standing += 1
         tasks = step(
@@ -93,51 +95,53 @@
 
     def _start_missing(self) -> None:
         super()._start_missing()
-        self._losing = asyncio.create_task(self._lose_executors())
+        self._crashes = asyncio.create_task(self._crash_executors())
 
-    async def _lose_executors(self) -> None:
+    async def _crash_executors(self) -> None:
         await asyncio.sleep(SETTLE_S / 2)
-        for _ in range(LOSSES):
+        for _ in range(CRASH_COUNT):
             alive = [a for a, e in self.world.executors.items() if e.alive]
             address = self.random.choice(sorted(alive))
             hall = self.world.executors[address].record.hall
             self.world.crash_executor(address, back=False)
-            await asyncio.sleep(LOST_FOR_S)
+            await asyncio.sleep(REPLACEMENT_DELAY_S)
             self.world.add_executor(hall, address)
-        self._calm_at = asyncio.get_running_loop().time()
+        self._checks_from = asyncio.get_running_loop().time()
 
     async def _ask_for_all(self) -> None:
-        """Leave the ends of jobs to other days: in full halls not all of them come in time."""
+        """Skip the check of all jobs: in full halls not all of them end in time."""
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             now = asyncio.get_running_loop().time()
-            if now >= self._calm_at:
-                self._look(now)
+            if now >= self._checks_from:
+                self._check_standing(now)
 
-    def _look(self, now: float) -> None:
+    def _check_standing(self, now: float) -> None:
         alive = [e for e in self.world.executors.values() if e.alive]
-        at_work = {task for e in alive for task in e.running}
+        running = {task for e in alive for task in e.running}
         for task in list(self.world.starts):
             spec = self.world.step_of(task)
-            if not spec.standing or task in at_work or not self._has_room(task, spec):
-                self._away_since.pop(task, None)
+            if not spec.standing or task in running or not self._has_capacity(task, spec):
+                self._not_running_since.pop(task, None)
                 continue
-            since = self._away_since.setdefault(task, now)
-            if now - since > IDLE_S and task not in self._told:
-                self._told.add(task)
-                self.world.violations.append(f"{now:.2f} LOST {task} does not run beside room")
-
-    def _has_room(self, task: TaskName, spec: StepSpec) -> bool:
+            since = self._not_running_since.setdefault(task, now)
+            if now - since > MAX_IDLE_S and task not in self._reported:
+                self._reported.add(task)
+                self.world.violations.append(
+                    f"{now:.2f} LOST {task} does not run although there is capacity"
+                )
+
+    def _has_capacity(self, task: TaskName, spec: StepSpec) -> bool:
         slots = 0
         for executor in self.world.executors.values():
             if not executor.alive:
                 continue
-            like = Counter((t.job_id, t.step) for t in executor.running)
-            spread = spec.max_per_executor - like[task.job_id, task.step]
+            running_per_step = Counter((t.job_id, t.step) for t in executor.running)
+            spread = spec.max_per_executor - running_per_step[task.job_id, task.step]
             slots += max(min(executor.free().milli_cpu // spec.demand.milli_cpu, spread), 0)
-        return slots >= ROOM_FOR
+        return slots >= MIN_FREE_SLOTS
 
 
-assert SETTLE_S / 2 + LOSSES * LOST_FOR_S + IDLE_S < CALM_S - WATCH_S
+assert SETTLE_S / 2 + CRASH_COUNT * REPLACEMENT_DELAY_S + MAX_IDLE_S < CALM_S - CHECK_INTERVAL_S
--- a/tests/host/standing_entries_day.py
+++ b/tests/host/standing_entries_day.py
@@ -1,4 +1,4 @@
-"""A drawn day on which the entries of executors outlast them, or go before them."""
+"""A random scenario in which registry entries outlast their executors or expire before them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from tests.host.overlapping_day import TROUBLES, OverlappingDay
 
 MISSED_HEARTBEATS = 3
-"""Heartbeats after which the platform drops the entry of an executor that is silent."""
+"""Number of missed heartbeats after which the platform drops the entry of an executor."""
 
-LOST_SHARE = 0.5
-"""Share of the entries that go while the store is down."""
+DROPPED_SHARE = 0.5
+"""Share of the entries that are dropped while the store is down."""
 
-LEFT_OUT = {"drain_executors", "late_orders", "lose_answers", "forget"}
-"""Troubles that this day leaves to others."""
+EXCLUDED_TROUBLES = {"drain_executors", "late_orders", "lose_answers", "forget"}
+"""Faults that this scenario leaves out."""
 
 
 class StandingEntriesWorld(HallWorld):
-    """A deployment whose crashed executors stay registered as long as on the platform."""
+    """A deployment whose crashed executors stay registered for as long as on the platform."""
 
     def crash_executor(self, address: str, *, back: bool = True) -> None:
         executor = self.executors[address]
@@ -32,27 +32,27 @@
 
 
 async def lose_store(day: OverlappingDay) -> None:
-    """The store is down, and entries of executors that serve on go meanwhile."""
+    """Take the store down and drop entries of executors that keep serving meanwhile."""
     world = day.world
     names = set(world.hosts)
     world.store.silent |= names
     alive = [executor for executor in world.executors.values() if executor.alive]
-    lost = [executor for executor in alive if day.random.random() < LOST_SHARE]
-    for executor in lost:
+    dropped = [executor for executor in alive if day.random.random() < DROPPED_SHARE]
+    for executor in dropped:
         world.forget_registration(executor)
     await day.last(2.0, 6.0)
     world.store.silent -= names
     await day.last(0.5, 2.0)
-    for executor in lost:
+    for executor in dropped:
         if executor.alive:
             world.register(executor)
 
 
 class StandingEntriesDay(OverlappingDay):
-    """Traffic and troubles of one seed.
+    """The traffic and the faults of one seed.
 
     Args:
-        seed: Decides all that is drawn.
+        seed: Seed of all random choices.
     """
 
     def __init__(self, seed: int) -> None:
@@ -60,7 +60,9 @@
         self.world = StandingEntriesWorld(
             halls=("east", "west"), seed=seed, failing_share=0.02, lists_machines=False
         )
-        self._kinds = {name: kind for name, kind in TROUBLES.items() if name not in LEFT_OUT}
+        self._kinds = {
+            name: kind for name, kind in TROUBLES.items() if name not in EXCLUDED_TROUBLES
+        }
         self._kinds["store_down"] = lose_store
 
     async def _trouble(self, at: float) -> None:
