--- a/tests/host/test_cancelled_work.py
+++ b/tests/host/test_cancelled_work.py
@@ -1,4 +1,4 @@
-"""Work of cancelled jobs ends in time, however late it was started and whoever started it."""
+"""Tasks of cancelled jobs end in time, even if a start arrives late or the owner changes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.virtual_time import run_virtual
 
 
-def running(world: HallWorld) -> int:
+def running_count(world: HallWorld) -> int:
     return sum(len(e.running) for e in world.executors.values() if e.alive)
 
 
 async def cancelled_amid_late_orders(seed: int, *, late_stops: bool) -> HallWorld:
-    """Cancel a job many of whose starts are carried out later, as its first stops may be."""
+    """Cancel a job of which many starts, and optionally the first stops, are executed late."""
     world = HallWorld(seed=seed, late_most_s=12.0)
     await world.begin()
     spec = world.new_job(step(12, estimate_s=30.0))
@@ -32,19 +32,19 @@
     await asyncio.sleep(3.0)
     world.late_share = 0.0
     await asyncio.sleep(13.0)
-    assert running(world) == 0
+    assert running_count(world) == 0
     return world
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_start_that_comes_after_its_stop_is_refused(seed: int) -> None:
+def test_a_start_that_arrives_after_its_stop_is_refused(seed: int) -> None:
     world = run_virtual(cancelled_amid_late_orders(seed, late_stops=False))
     assert world.problems == []
     assert world.late_starts[StartOutcome.SUPERSEDED]
     assert not world.late_starts[StartOutcome.STARTED]
 
 
-def test_a_start_carried_out_late_does_not_outlive_its_cancelled_job() -> None:
+def test_a_start_executed_late_does_not_outlive_its_cancelled_job() -> None:
     worlds = [run_virtual(cancelled_amid_late_orders(s, late_stops=True)) for s in range(8)]
     assert [world.problems for world in worlds] == [[]] * 8
     assert sum(world.late_starts[StartOutcome.STARTED] for world in worlds) >= 4
@@ -52,8 +52,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("planned", [False, True])
-def test_a_late_start_ends_though_its_starter_was_removed(seed: int, planned: bool) -> None:
-    """The next owner must find what a start that it never heard of brings."""
+def test_a_late_start_ends_after_its_owner_is_lost(seed: int, planned: bool) -> None:
+    """The next owner must find runs of a start that it has no record of."""
 
     async def play() -> HallWorld:
         world = HallWorld(seed=seed, late_most_s=12.0)
@@ -72,14 +72,14 @@
             world.kill_host(owner)
         world.late_share = 0.0
         await asyncio.sleep(14.0)
-        assert running(world) == 0
+        assert running_count(world) == 0
         return world
 
     assert run_virtual(play()).problems == []
 
 
-async def begun_in_one_of_two_halls(seed: int) -> tuple[HallWorld, str, list[str]]:
-    """Return a world, its one job, some of whose orders may come late, and the hall's hosts."""
+async def start_in_one_of_two_halls(seed: int) -> tuple[HallWorld, str, list[str]]:
+    """Return a world, its only job, some of whose orders may arrive late, and its hall's hosts."""
     world = HallWorld(halls=("east", "west"), seed=seed, late_most_s=12.0)
     await world.begin()
     spec = world.new_job(step(12, estimate_s=30.0))
@@ -87,47 +87,47 @@
     assert await world.submit("east-host-0", spec) == 200
     await asyncio.sleep(0.4)
     world.late_share = 0.0
-    hall = next(h for h in world.halls if any(running_in(world, h)))
+    hall = next(h for h in world.halls if any(running_counts_in(world, h)))
     return world, spec.job_id, [name for name, at in world.host_names() if at == hall]
 
 
-def test_cancelled_work_ends_though_all_hosts_of_its_hall_were_removed() -> None:
-    """Another hall's host must claim the shard before the work is overdue."""
+def test_cancelled_work_ends_after_all_hosts_of_its_hall_are_removed() -> None:
+    """A host of another hall must claim the shard before the deadline for the end of the tasks."""
 
     async def play(seed: int) -> HallWorld:
-        world, job_id, hosts = await begun_in_one_of_two_halls(seed)
+        world, job_id, hosts = await start_in_one_of_two_halls(seed)
         for name in hosts:
             await world.remove_host(name)
         other = next(iter(world.hosts))
         assert await world.cancel(other, job_id) == 200
         await asyncio.sleep(14.0)
-        assert running(world) == 0
+        assert running_count(world) == 0
         return world
 
     assert [run_virtual(play(seed)).problems for seed in range(4)] == [[], [], [], []]
 
 
-def running_in(world: HallWorld, hall: str) -> list[int]:
+def running_counts_in(world: HallWorld, hall: str) -> list[int]:
     return [len(e.running) for e in world.executors.values() if e.record.hall == hall]
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_cancelled_work_ends_after_all_hosts_of_its_hall_were_killed(seed: int) -> None:
-    """Until another hall takes over, its lease bounds it."""
+def test_cancelled_work_ends_after_all_hosts_of_its_hall_are_killed(seed: int) -> None:
+    """Until another hall takes over, the lease limits how long the tasks run."""
 
     async def play() -> HallWorld:
-        world, job_id, hosts = await begun_in_one_of_two_halls(seed)
+        world, job_id, hosts = await start_in_one_of_two_halls(seed)
         for name in hosts:
             world.kill_host(name)
         other = next(iter(world.hosts))
         assert await world.cancel(other, job_id) == 200
         until = asyncio.get_running_loop().time() + 8.0
         while asyncio.get_running_loop().time() < until:
-            # Nobody of another hall may act for eight seconds.
+            # Hosts of the other hall may not claim the shard for eight seconds.
             world.trouble()
             await asyncio.sleep(0.05)
         await asyncio.sleep(CANCEL_S + STOP_S)
-        assert running(world) == 0
+        assert running_count(world) == 0
         return world
 
     assert run_virtual(play()).problems == []
@@ -148,10 +148,10 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("lose", [lose_by_kill, lose_by_removal])
 @pytest.mark.parametrize("home", [False, True])
-def test_borrowed_work_of_a_cancelled_job_ends(
+def test_delegated_tasks_of_a_cancelled_job_end(
     seed: int, lose: Callable[[HallWorld, str], object], home: bool
 ) -> None:
-    """Either shard's owner may go just as the job is cancelled."""
+    """The owner of the home or of the delegated shard ends just as the job is cancelled."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"), seed=seed, late_most_s=12.0)
@@ -160,7 +160,7 @@
         world.late_share = 0.3
         assert await world.submit("east-host-0", spec) == 200
         await asyncio.sleep(7.0 + seed)
-        assert all(any(running_in(world, hall)) for hall in world.halls)
+        assert all(any(running_counts_in(world, hall)) for hall in world.halls)
         place = next(r for r in world.hosts.values()).host.job_registry.catalog.get(spec.job_id)
         assert place and place.shard is not None
         hall = world.halls[place.shard if home else 1 - place.shard]
@@ -169,7 +169,7 @@
         await lose(world, hall)
         world.late_share = 0.0
         await asyncio.sleep(14.0)
-        assert running(world) == 0
+        assert running_count(world) == 0
         return world
 
     assert run_virtual(play()).problems == []
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("gone", ["draining", "entry went"])
 @pytest.mark.parametrize("planned", [False, True])
 def test_cancelled_work_ends_on_an_executor_that_leaves(gone: str, planned: bool) -> None:
-    """Its registration is gone or says so, and the owner that knew it is gone, too."""
+    """The executor's entry is dropped or marked as draining, and the owner that knew it ends."""
 
     async def play() -> HallWorld:
         world = HallWorld()
@@ -198,12 +198,12 @@
         assert await world.cancel(other, spec.job_id) == 200
         await (lose_by_removal if planned else lose_by_kill)(world, "east")
         await asyncio.sleep(CANCEL_S + STOP_S)
-        assert running(world) == 0
+        assert running_count(world) == 0
         return world
 
     assert run_virtual(play()).problems == []
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_cancels_amid_troubles_leave_nothing_running(seed: int) -> None:
+def test_random_cancellations_during_faults_leave_nothing_running(seed: int) -> None:
     assert run_virtual(cancelling_day(seed), limit_s=400.0).problems == []
--- a/tests/host/test_claims_read_late.py
+++ b/tests/host/test_claims_read_late.py
@@ -1,7 +1,8 @@
-"""An owner acts from when it claimed, not from when it read that its claim was done.
+"""An owner's right to act counts from its claim, not from when it reads the claim back.
 
-An owner may act for a while without having proved its ownership. Its successor reckons that time
-from what it read itself, so an owner must not reckon it from an answer that came late.
+An owner may act for a limited time without renewed proof of its ownership. The next owner counts
+that time from its own reads of the record, so an owner that counted it from a delayed answer would
+act for too long.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 OWNERS = Partition("owners", 0)
 
-READ_TAKES_S = 4.0
-"""Time that a read takes on its way: more than the silence after which others claim."""
+READ_DELAY_S = 4.0
+"""Delay of a read: longer than the silence after which other hosts claim the shard."""
 
 
-def test_an_owner_that_read_its_claim_late_acts_no_longer_for_that() -> None:
+def test_an_owner_that_reads_its_claim_late_does_not_act_longer() -> None:
     async def play() -> None:
         world = HallWorld(hosts_per_hall=2)
         await world.begin()
@@ -31,10 +32,10 @@
         while _last_act(world) is not OwnerAct.CLAIM:
             await asyncio.sleep(0.001)
         claimed_at = time.monotonic()
-        world.store.reads_take[second, OWNERS.topic] = READ_TAKES_S
+        world.store.reads_take[second, OWNERS.topic] = READ_DELAY_S
         while candidate.tenure is None:
             await asyncio.sleep(0.005)
-        assert time.monotonic() - claimed_at >= READ_TAKES_S / 2
+        assert time.monotonic() - claimed_at >= READ_DELAY_S / 2
         world.store.silent.add(second)
         await asyncio.sleep(claimed_at + MAX_UNPROVED_S + 0.1 - time.monotonic())
         assert not candidate.tenure.may_act(time.monotonic())
--- a/tests/host/test_crashes_on_no_record.py
+++ b/tests/host/test_crashes_on_no_record.py
@@ -1,4 +1,9 @@
-"""A crash under a start that is on no record, and falls beside the one that is to be the last."""
+"""A task takes down no executor too many although its first start is on no record.
+
+The first start is sent while the store does not answer its owner, and that owner is killed
+together with the executor, so that no owner counts the crash. Two further executors crash at the
+same time as the fourth counted one, which then does not count against the task.
+"""
 
 from __future__ import annotations
 
@@ -9,34 +14,34 @@
 from tests.part_world import PartWorld
 from tests.virtual_time import run_virtual
 
-LOOK_S = 0.005
-"""Time between looks at what fell."""
+CHECK_INTERVAL_S = 0.005
+"""Interval between checks for crashes."""
 
 CRASH_AFTER_S = 4.0
-"""Time after its begin at which the task crashes its executor: too late to be named by that."""
+"""Delay between the task's start and the crash: too long for the crash to single out the task."""
 
-FIFTH = 5
-"""The executor that falls under it as the fourth by the count of owners."""
+FIFTH_CRASH = 5
+"""Number of the crash that is the fourth one by the owners' count."""
 
 
-async def _played() -> PartWorld:
+async def _run_scenario() -> PartWorld:
     world = PartWorld(executors_per_hall=6, hosts_per_hall=3, resets=True, seed=7)
     await world.begin()
-    first = world.owner()
-    assert first
-    # It starts work, and nobody knows.
-    world.away.add((first, "progress"))
+    first_owner = world.owner()
+    assert first_owner
+    # The owner starts the task without a record.
+    world.away.add((first_owner, "progress"))
     spec = await submit_crashing(world, step(estimate_s=30.0), after_s=CRASH_AFTER_S)
     (task,) = world.crashing.after_s
-    seen = 0
-    for _ in range(int(2 * GIVEN_UP_S / LOOK_S)):
-        await asyncio.sleep(LOOK_S)
-        if world.crashing.fallen[task] == seen:
+    crash_count = 0
+    for _ in range(int(2 * GIVEN_UP_S / CHECK_INTERVAL_S)):
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        if world.crashing.fallen[task] == crash_count:
             continue
-        seen += 1
-        if seen == 1:
-            world.kill_host(first)
-        if seen == FIFTH:
+        crash_count += 1
+        if crash_count == 1:
+            world.kill_host(first_owner)
+        if crash_count == FIFTH_CRASH:
             up = [address for address, e in world.executors.items() if e.alive]
             for address in up[:2]:
                 world.crash_executor(address)
@@ -45,9 +50,9 @@
 
 
 def test_a_crash_under_a_start_on_no_record_costs_no_start_too_many() -> None:
-    """Guards against a sixth executor that a task takes down: BUDGET.
+    """Guards against a sixth executor that a task crashes: BUDGET.
 
-    Its first start went out while the store did not answer its owner, which was lost with the
-    executor. The crash was counted by nobody, and the fourth that was counted spared the task.
+    The first start is sent while the store does not answer the owner, which is lost together
+    with the executor. No owner counts that crash, and the fourth counted one spares the task.
     """
-    assert run_virtual(_played()).problems == []
+    assert run_virtual(_run_scenario()).problems == []
--- a/tests/host/test_crashing_days.py
+++ b/tests/host/test_crashing_days.py
@@ -1,7 +1,8 @@
-"""Drawn days with tasks that crash their executors beside the work of others.
+"""Random scenarios with tasks that crash their executors while other jobs run.
 
-All kinds of tasks, one to four at a time, 10 ms to 5 s from begin to crash, halls of two to six
-executors, with and without a machine list; owners and other executors lost on the odd seeds.
+They cover all kinds of tasks, one to four crashing jobs at a time, 10 ms to 5 s from start to
+crash, halls of two to six executors, with and without a machine list. Some tests also lose owners
+and other executors.
 """
 
 from __future__ import annotations
@@ -20,43 +21,43 @@
 
 TRAFFIC_S = 30.0
 SETTLED_S = 60.0
-"""Time by which everything has ended, also what waited out leases and trials in turn."""
+"""Time in which everything ends, including tasks that wait for leases and for isolated starts."""
 
 KINDS = ("plain", "standing", "gang", "speculative")
-AFTER_S = (0.01, 0.4, 1.5, 5.0)
+CRASH_DELAYS_S = (0.01, 0.4, 1.5, 5.0)
 
 
 @dataclass
 class CrashingDay:
-    """A day, and the jobs of its callers."""
+    """A scenario and the jobs of its callers."""
 
     rng: Random
     world: HallWorld
     crashing: list[JobSpec] = field(default_factory=list)
     others: list[JobSpec] = field(default_factory=list)
 
-    async def play(self, *, troubled: bool) -> None:
+    async def run(self, *, troubled: bool) -> None:
         sending = asyncio.create_task(self._send_others())
-        after_s, kind = self.rng.choice(AFTER_S), self.rng.choice(KINDS)
+        after_s, kind = self.rng.choice(CRASH_DELAYS_S), self.rng.choice(KINDS)
         for _ in range(self.rng.choice([1, 2, 4])):
             await asyncio.sleep(3.0 * self.rng.random())
             await self._send_crashing(after_s, kind)
         if troubled:
             for _ in range(3):
                 await asyncio.sleep(4.0 * self.rng.random())
-                await self._lose_some()
+                await self._end_owner_and_executors()
         await sending
         await asyncio.sleep(SETTLED_S)
 
     async def _send_others(self) -> None:
-        asked = []
+        submissions = []
         for _ in range(int(TRAFFIC_S / 0.4)):
             cpu, estimate_s = self.rng.choice([300, 700]), self.rng.choice([0.3, 0.6, 2.0])
             spec = self.world.new_job(step(self.rng.randint(1, 6), cpu=cpu, estimate_s=estimate_s))
             self.others.append(spec)
-            asked.append(asyncio.create_task(self.world.submit(self._host(), spec)))
+            submissions.append(asyncio.create_task(self.world.submit(self._host(), spec)))
             await asyncio.sleep(0.4)
-        await asyncio.gather(*asked)
+        await asyncio.gather(*submissions)
 
     async def _send_crashing(self, after_s: float, kind: str) -> None:
         spec = self.world.new_job(_crashing_step(self.rng.choice([1, 3]), kind))
@@ -64,7 +65,7 @@
         if await self.world.submit(self._host(), spec) == 200:
             self.crashing.append(spec)
 
-    async def _lose_some(self) -> None:
+    async def _end_owner_and_executors(self) -> None:
         owner = self.world.owner(self.rng.randrange(2))
         if owner in self.world.hosts:
             self.world.kill_host(owner)
@@ -84,7 +85,7 @@
     return step(count, estimate_s=30.0, **flags)
 
 
-async def _played(seed: int, *, troubled: bool) -> tuple[CrashingDay, list[str], list[str]]:
+async def _run_scenario(seed: int, *, troubled: bool) -> tuple[CrashingDay, list[str], list[str]]:
     rng = Random(seed)
     world = await day(
         seed=seed,
@@ -94,56 +95,57 @@
         late_share=0.02 * troubled,
         lost_answer_share=0.02 * troubled,
     )
-    played = CrashingDay(rng, world)
-    await played.play(troubled=troubled)
-    accepted = [spec for spec in played.others if spec.job_id in world.accepted]
-    played.others = accepted
-    return played, await states(world, played.crashing), await states(world, accepted)
+    scenario = CrashingDay(rng, world)
+    await scenario.run(troubled=troubled)
+    accepted = [spec for spec in scenario.others if spec.job_id in world.accepted]
+    scenario.others = accepted
+    return scenario, await states(world, scenario.crashing), await states(world, accepted)
 
 
 @pytest.mark.parametrize("seed", range(400, 412, 2))
-def test_what_crashes_executors_is_given_up_and_nothing_else(seed: int) -> None:
+def test_only_crashing_tasks_are_given_up(seed: int) -> None:
     _assert_others_succeed(seed)
 
 
 @pytest.mark.parametrize("seed", [5006, 5012, 5014, 5054, 5060, 5066, 6030, 7040])
-def test_neighbours_in_a_hall_of_two_executors_are_not_given_up(seed: int) -> None:
-    """Guards against jobs given up that met what crashes executors again and again.
+def test_colocated_jobs_in_a_hall_of_two_executors_are_not_given_up(seed: int) -> None:
+    """Guards against giving up jobs that repeatedly shared an executor with a crashing task.
 
-    Most were there at four crashes that named nobody: in a hall of two executors a suspect was
-    started beside others after two seconds, and new work beside it. Three (5054, 6030, 7040) were
-    named at their third, though others were there under which executors had crashed before.
+    On most of these seeds they were present at four crashes that singled out no task: in a hall of
+    two executors a task with a crash history was started together with others after two seconds,
+    and new tasks beside it. On three (5054, 6030, 7040) the third crash singled them out although
+    other tasks with a crash history were present.
     """
     _assert_others_succeed(seed)
 
 
 def _assert_others_succeed(seed: int) -> None:
-    played, crashing, others = run_virtual(_played(seed, troubled=False))
-    assert played.world.problems == []
+    scenario, crashing, others = run_virtual(_run_scenario(seed, troubled=False))
+    assert scenario.world.problems == []
     assert set(crashing) == {"failed"}
     assert set(others) == {"succeeded"}
 
 
 @pytest.mark.parametrize("seed", [413, 543])
-def test_executors_that_fall_beside_hide_one_crash_at_the_most(seed: int) -> None:
-    """Guards against starts without end of what crashes executors, where others fall beside it.
+def test_simultaneous_crashes_hide_at_most_one_crash(seed: int) -> None:
+    """Guards against endless starts of a crashing task while other executors crash.
 
-    A crash beside two others was not counted where it would have given the task up, each time.
+    Each crash that coincided with two others and would have given the task up was not counted.
     """
-    played, crashing, _ = run_virtual(_played(seed, troubled=True))
-    assert played.world.problems == []
+    scenario, crashing, _ = run_virtual(_run_scenario(seed, troubled=True))
+    assert scenario.world.problems == []
     assert set(crashing) == {"failed"}
 
 
 @pytest.mark.parametrize("seed", [*range(401, 413, 2), 428])
-def test_also_where_owners_and_other_executors_are_lost(seed: int) -> None:
-    """Others may be given up there, but only where executors crashed under them, too."""
-    played, crashing, others = run_virtual(_played(seed, troubled=True))
-    assert played.world.problems == []
+def test_crashing_tasks_are_given_up_while_owners_and_executors_are_lost(seed: int) -> None:
+    """Other jobs may be given up as well, but only if executors crashed under them."""
+    scenario, crashing, others = run_virtual(_run_scenario(seed, troubled=True))
+    assert scenario.world.problems == []
     assert set(crashing) == {"failed"}
     assert set(others) <= {"succeeded", "failed"}
-    under = played.world.crashing.under
-    for spec, state in zip(played.others, others, strict=True):
+    under = scenario.world.crashing.under
+    for spec, state in zip(scenario.others, others, strict=True):
         crashes = (
             max(n for task, n in under.items() if task.job_id == spec.job_id)
             if (state == "failed")
--- a/tests/host/test_crashing_tasks.py
+++ b/tests/host/test_crashing_tasks.py
@@ -1,15 +1,12 @@
-"""A task that crashes its executors is given up after few of them, and nothing beside it.
+"""A task that crashes its executors is given up after few crashes, and no other task is.
 
-What was seen: two jobs of which one task each crashed its executor 10 ms after its begin. Each
-was started again 5 ms after the executor was known to be gone, over a hundred times in two
-minutes; 119 executors fell, with 7 to 15 runs of other jobs each time.
+Guards against endless restarts of a crashing task. In an incident two jobs had one task each that
+crashed its executor 10 ms after its start. Each was restarted 5 ms after the crash was detected,
+over a hundred times in two minutes; 119 executors crashed, each with 7 to 15 runs of other jobs.
 
-How it came about: attempts were counted by the ends that executors tell. An executor that
-crashes tells none, so a run that ended with it left nothing in its task's history, with one
-owner, a quiet store, and each time.
-
-What proved it: the plays below, each of which started its task 7 to 37 times after the third
-crash; and the log of the incident, with 542 and 530 in turn and no count that rises.
+Attempts were counted by the ends that executors report. A crashing executor reports none, so the
+run left nothing in the history of its task, even with a single owner and a healthy store. The
+scenarios below started their tasks 7 to 37 times after the third crash.
 """
 
 from __future__ import annotations
@@ -36,20 +33,20 @@
 from tests.virtual_time import EPOCH, run_virtual
 
 LONG_S = 30.0
-"""Length of work that outlasts what is tried."""
+"""Duration of a task that outlasts the scenario."""
 
-LOOK_S = 0.005
-"""Time between looks at what fell: far less than passes until it is written down."""
+CHECK_INTERVAL_S = 0.005
+"""Interval between checks for crashes: far less than the time until a crash is on record."""
 
-Played = tuple[HallWorld, list[str]]
+Outcome = tuple[HallWorld, list[str]]
 
 
-def _play(work: Coroutine[Any, Any, Played]) -> Played:
+def _run(work: Coroutine[Any, Any, Outcome]) -> Outcome:
     return run_virtual(work)
 
 
-async def _one_job(*steps: StepSpec, after_s: float = AT_ONCE_S, **fields: Any) -> Played:
-    """Play a job whose first task crashes its executors, and return how it is shown."""
+async def _run_one_job(*steps: StepSpec, after_s: float = AT_ONCE_S, **fields: Any) -> Outcome:
+    """Run a job whose first task crashes its executors, and return the world and its state."""
     world = await day(**fields)
     spec = await submit_crashing(world, *steps, after_s=after_s)
     await asyncio.sleep(GIVEN_UP_S)
@@ -58,15 +55,15 @@
 
 @pytest.mark.parametrize("after_s", [AT_ONCE_S, 0.8, 4.0])
 def test_a_task_that_crashes_its_executors_is_given_up(after_s: float) -> None:
-    world, shown = _play(_one_job(step(estimate_s=LONG_S), after_s=after_s))
+    world, job_states = _run(_run_one_job(step(estimate_s=LONG_S), after_s=after_s))
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_two_crashes_right_after_the_begin_are_enough() -> None:
-    world, shown = _play(_one_job(step(estimate_s=LONG_S)))
+def test_a_task_is_given_up_after_two_crashes_right_after_its_start() -> None:
+    world, job_states = _run(_run_one_job(step(estimate_s=LONG_S)))
     assert sum(world.crashing.fallen.values()) == 2
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
 @pytest.mark.parametrize(
@@ -78,45 +75,45 @@
         pytest.param(step(3, estimate_s=LONG_S, best_effort=True), id="best effort"),
     ],
 )
-def test_it_is_given_up_whatever_its_kind(steps: StepSpec) -> None:
-    world, shown = _play(_one_job(steps))
+def test_a_crashing_task_of_any_kind_is_given_up(steps: StepSpec) -> None:
+    world, job_states = _run(_run_one_job(steps))
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_it_is_given_up_in_a_hall_of_two_executors() -> None:
-    world, shown = _play(_one_job(step(estimate_s=LONG_S), executors_per_hall=2))
+def test_a_crashing_task_is_given_up_in_a_hall_of_two_executors() -> None:
+    world, job_states = _run(_run_one_job(step(estimate_s=LONG_S), executors_per_hall=2))
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_it_is_given_up_where_no_machine_list_tells_of_crashes() -> None:
-    """An executor that begins at the address of another proves that one gone."""
-    world, shown = _play(_one_job(step(estimate_s=LONG_S), lists_machines=False))
+def test_a_crashing_task_is_given_up_without_a_machine_list() -> None:
+    """A new executor at the same address proves that the previous one crashed."""
+    world, job_states = _run(_run_one_job(step(estimate_s=LONG_S), lists_machines=False))
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_it_is_given_up_where_crashes_are_found_by_silence() -> None:
-    world, shown = _play(_one_job(step(estimate_s=LONG_S), resets=False))
+def test_a_crashing_task_is_given_up_if_crashes_are_detected_by_silence() -> None:
+    world, job_states = _run(_run_one_job(step(estimate_s=LONG_S), resets=False))
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_four_at_once_are_given_up() -> None:
-    async def play() -> Played:
+def test_four_simultaneous_crashing_tasks_are_given_up() -> None:
+    async def scenario() -> Outcome:
         world = await day()
         specs = [await submit_crashing(world, step(estimate_s=LONG_S)) for _ in range(4)]
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, specs)
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["failed"] * 4
+    assert job_states == ["failed"] * 4
 
 
-def test_owners_that_follow_one_another_go_on_with_the_count() -> None:
-    async def play() -> Played:
+def test_successive_owners_continue_the_crash_count() -> None:
+    async def scenario() -> Outcome:
         world = await day()
         spec = await submit_crashing(world, step(estimate_s=LONG_S), after_s=0.3)
         for _ in range(4):
@@ -128,15 +125,15 @@
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, [spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_it_is_given_up_while_the_store_comes_and_goes() -> None:
-    """No start goes out that a next owner could not know to be one more."""
+def test_a_crashing_task_is_given_up_in_spite_of_a_store_outage() -> None:
+    """No start is sent that the next owner could not count."""
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day()
         spec = await submit_crashing(world, step(estimate_s=LONG_S))
         await asyncio.sleep(0.5)
@@ -146,13 +143,13 @@
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, [spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_a_time_of_a_repeated_job_is_given_up() -> None:
-    async def play() -> Played:
+def test_a_crashing_repetition_of_a_scheduled_job_is_given_up() -> None:
+    async def scenario() -> Outcome:
         world = await day()
         now = EPOCH + asyncio.get_running_loop().time()
         plain = world.new_job(step(estimate_s=0.5))
@@ -164,15 +161,15 @@
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, [spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
 
 
-def test_a_task_that_was_lent_is_given_up_in_the_other_hall() -> None:
-    """Its own hall is full; the count comes along, and the end is told for the whole job."""
+def test_a_delegated_crashing_task_is_given_up_in_the_other_hall() -> None:
+    """The home hall is full: the count follows the delegation, and the whole job fails."""
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day(executors_per_hall=2)
         filler = [await submit(world, step(6, cpu=2_000, standing=True)) for _ in range(1)]
         await asyncio.sleep(3.0)
@@ -180,32 +177,32 @@
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, [*filler, spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["running", "failed"]
+    assert job_states == ["running", "failed"]
 
 
-def test_what_runs_beside_it_ends_well() -> None:
-    """Each crash takes the other runs of its executor along: few crashes, and no blame."""
+def test_jobs_colocated_with_a_crashing_task_succeed() -> None:
+    """Each crash also ends the other runs of the executor, which must not count against them."""
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day()
-        beside = [await submit(world, step(8, estimate_s=2.0)) for _ in range(5)]
+        others = [await submit(world, step(8, estimate_s=2.0)) for _ in range(5)]
         spec = await submit_crashing(world, step(estimate_s=LONG_S))
-        beside += [await submit(world, step(8, estimate_s=2.0)) for _ in range(3)]
+        others += [await submit(world, step(8, estimate_s=2.0)) for _ in range(3)]
         await asyncio.sleep(GIVEN_UP_S)
-        return world, await states(world, [*beside, spec])
+        return world, await states(world, [*others, spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["succeeded"] * 8 + ["failed"]
+    assert job_states == ["succeeded"] * 8 + ["failed"]
 
 
 @pytest.mark.parametrize("pause_s", [1.2, 2.5, 6.0])
-def test_a_hall_that_crashes_thrice_fails_no_job(pause_s: float) -> None:
-    """Forty tasks were there each time, which proves nothing of any of them."""
+def test_three_crashes_of_a_whole_hall_fail_no_job(pause_s: float) -> None:
+    """Forty tasks are present at each crash, which is evidence against none of them."""
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day()
         specs = [await submit(world, step(8, estimate_s=12.0)) for _ in range(5)]
         for _ in range(3):
@@ -214,15 +211,15 @@
         await asyncio.sleep(90.0)
         return world, await states(world, specs)
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["succeeded"] * 5
+    assert job_states == ["succeeded"] * 5
 
 
-def test_standing_tasks_outlast_crashes_that_are_far_apart() -> None:
-    """What has worked for long did not crash its executor, however often that comes."""
+def test_standing_tasks_survive_crashes_that_are_far_apart() -> None:
+    """A task that has run for long is not the cause of a crash, however often crashes recur."""
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day(executors_per_hall=1)
         specs = [await submit(world, step(4, standing=True))]
         for _ in range(6):
@@ -232,55 +229,57 @@
         await asyncio.sleep(10.0)
         return world, await states(world, specs)
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["running"]
+    assert job_states == ["running"]
 
 
-def test_the_count_goes_along_with_loans() -> None:
-    """A standing task that fell five seconds after each begin was counted anew in each hall.
+def test_the_crash_count_follows_a_delegation() -> None:
+    """Guards against a crash count that starts anew in each hall.
 
-    It took seven executors: the three of its hall, which were not back yet, and four in the
-    hall that it was lent to. The record of a loan had no place for its crashes.
+    A standing task that crashed its executor five seconds after each start took down seven: the
+    three of its hall, which had not restarted yet, and four in the hall that it was delegated to.
+    The record of a delegation had no field for the crashes.
     """
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day(executors_per_hall=3, crash_back_s=LONG_S)
         spec = await submit_crashing(world, step(standing=True), after_s=5.0)
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, [spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.log.named("WORK_HANDED_OVER")
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
     assert sum(world.crashing.fallen.values()) <= 4
 
 
-def test_two_owners_that_are_lost_before_they_write_cost_no_start_too_many() -> None:
-    """Each left a crash that no record held.
+def test_two_owners_lost_before_they_record_a_start_cause_no_extra_start() -> None:
+    """Guards against crashes that are on no record because their owner was lost.
 
-    Seen in the soak (seed 9228): the first start's owner was killed while the store was away,
-    the third's stood still until it was replaced; six executors fell, three after the third.
-    The others fell too late after the begin, there beside others, to name the task. Cause: a start
-    goes out before its own record. A start of a suspect now waits for it, some 70 ms.
+    In the soak (seed 9228) the owner of the first start was killed while the store was down, and
+    the owner of the third froze until it was replaced; six executors crashed, three after the
+    third. The other crashes came too long after the start, with other tasks present, to single
+    out the task. A start is sent before its record is written; the start of a task with a crash
+    history waits for its record, some 70 ms.
     """
 
-    async def play() -> Played:
+    async def scenario() -> Outcome:
         world = await day(hosts_per_hall=3)
         spec = await submit_crashing(world, step(estimate_s=LONG_S))
         (task,) = world.crashing.after_s
-        seen = 0
-        for _ in range(int(2 * GIVEN_UP_S / LOOK_S)):
-            await asyncio.sleep(LOOK_S)
-            if world.crashing.fallen[task] == seen:
+        crash_count = 0
+        for _ in range(int(2 * GIVEN_UP_S / CHECK_INTERVAL_S)):
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            if world.crashing.fallen[task] == crash_count:
                 continue
-            seen += 1
-            world.crashing.after_s[task] = AT_ONCE_S if seen == 2 else 4.0
-            if seen in (1, 3) and (owner := world.owner(0)):
+            crash_count += 1
+            world.crashing.after_s[task] = AT_ONCE_S if crash_count == 2 else 4.0
+            if crash_count in (1, 3) and (owner := world.owner(0)):
                 world.kill_host(owner)
         return world, await states(world, [spec])
 
-    world, shown = _play(play())
+    world, job_states = _run(scenario())
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
--- a/tests/host/test_end_beside_recovery.py
+++ b/tests/host/test_end_during_recovery.py
@@ -1,4 +1,4 @@
-"""A job that its former owner ends while the next one recovers is not started again."""
+"""A job that its previous owner finishes while the next owner recovers is not started again."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 PROGRESS = Partition("progress", 0, keyed=True)
 RECOVERY = [PROGRESS, EXECUTORS, JOBS]
-"""What a new owner reads, in order."""
+"""Partitions that a new owner reads, in order."""
 
-AWAY_S = 1.5
-"""Time for which the store does not answer the new owner from then on."""
+CUT_OFF_S = 1.5
+"""Time for which the store does not answer the new owner after these reads."""
 
 
-def test_a_job_that_ends_beside_a_recovery_is_not_started_again() -> None:
-    """What a new owner read of the jobs is older than what executors tell it then.
+def test_a_job_that_ends_during_a_recovery_is_not_started_again() -> None:
+    """Guards against a new owner that trusts job records older than the executors' reports.
 
-    The former owner does not know yet that it is one. After the new owner has read the
-    job records, and before it has asked the executor, the former owner writes that the
-    job is done and lets the executor forget the end.
+    The previous owner does not know yet that it was replaced. After the new owner has read the
+    job records, and before it polls the executor, the previous owner writes the final record of
+    the job and acknowledges the end, so that the executor no longer reports it.
     """
 
     async def play() -> HallWorld:
@@ -42,14 +42,14 @@
         spec = world.new_job(step(1, estimate_s=30.0))
         await world.submit("east-host-0", spec)
         await asyncio.sleep(1.3)
-        former = world.owner()
-        heir = next(name for name in world.hosts if name != former)
-        assert former
-        # Its last acts are played below.
-        world.kill_host(former)
-        store.once_read(RECOVERY, lambda: _end_unread(world, heir, spec.job_id))
+        previous_owner = world.owner()
+        next_owner = next(name for name in world.hosts if name != previous_owner)
+        assert previous_owner
+        # The test performs the last actions of this owner below.
+        world.kill_host(previous_owner)
+        store.once_read(RECOVERY, lambda: _end_while_cut_off(world, next_owner, spec.job_id))
         await asyncio.sleep(12.0)
-        assert await world.state(heir, spec.job_id) == "succeeded"
+        assert await world.state(next_owner, spec.job_id) == "succeeded"
         return world
 
     world = run_virtual(play())
@@ -57,14 +57,14 @@
     assert [len(times) for times in world.starts.values()] == [1]
 
 
-def _end_unread(world: HallWorld, reader: str, job_id: str) -> None:
-    """End a job's last run; the reader does not hear of it for a while."""
+def _end_while_cut_off(world: HallWorld, reader: str, job_id: str) -> None:
+    """End a job's last run while the reader is cut off from the store."""
     _cut_from_store(world, reader)
-    _end(world, reader, job_id)
+    _end_job(world, reader, job_id)
 
 
-def _end(world: HallWorld, reader: str, job_id: str) -> None:
-    """Do what a former owner does of a job whose last run has ended."""
+def _end_job(world: HallWorld, reader: str, job_id: str) -> None:
+    """Write the records and send the acknowledgement of a previous owner at the end of a job."""
     executor = next(e for e in world.executors.values() if e.running)
     (run,) = executor.running.values()
     run.ends_at, run.fails = executor.now, False
@@ -84,11 +84,11 @@
 
 def _cut_from_store(world: HallWorld, host: str) -> None:
     world.store.silent.add(host)
-    asyncio.get_running_loop().call_later(AWAY_S, world.store.silent.discard, host)
+    asyncio.get_running_loop().call_later(CUT_OFF_S, world.store.silent.discard, host)
 
 
 class _WatchedStore(MemoryStore):
-    """Tells when some partitions have been used one after the other."""
+    """A store that calls a function once given partitions have been read in order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -102,6 +102,6 @@
         if self._awaited and partition == self._awaited[0]:
             self._awaited.pop(0)
             if not self._awaited:
-                # Just after the answer to that read is made up.
+                # Runs right after the answer to this read is assembled.
                 asyncio.get_running_loop().call_soon(self._call, context=Context())
         return super().log(partition)
--- a/tests/host/test_ends_forgotten_unread.py
+++ b/tests/host/test_ends_forgotten_unread.py
@@ -1,10 +1,10 @@
-"""Ends of an executor's next life that nobody has read are not forgotten.
+"""Unreported ends of an executor's next incarnation are not discarded.
 
-Callers saw tasks run twice, the second time after the first had ended as done. An executor was
-away for some milliseconds; a look that told it to forget the ends of its life came to the next
-one and waited there for an end. That life forgot the ends that came meanwhile, whose numbers were
-below, and the look after that listed neither run nor end: the tasks began again. Shown by plays
-at many moments, ten of forty, and by the same plays with looks that do not wait: none.
+Guards against tasks that run twice, the second time after the first run is done. An executor
+restarts within milliseconds; a poll that acknowledges ends of its previous incarnation reaches the
+next one and waits there for an end. That incarnation discarded the ends that followed, whose
+numbers were lower, and the next report listed neither the run nor its end, so that the task was
+started again. Ten of the forty moments below failed; with polls that do not wait, none did.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from tests.virtual_time import run_virtual
 
 MOMENTS = 40
-"""Moments of the first fall, over the time that a look and the pause after it take."""
+"""Number of moments of the first crash, spread over a poll and the pause after it."""
 
-APART_S = 0.011
-"""Time between two moments."""
+MOMENT_INTERVAL_S = 0.011
+"""Interval between two moments."""
 
 
 @pytest.mark.parametrize("moment", range(MOMENTS))
-def test_a_look_on_its_way_forgets_no_end_of_the_next_life(moment: int) -> None:
-    """Guards against a look that comes to the next life, waits there and forgets unread ends."""
-    restarts = Restarts(down_s=0.01, times=4, every_s=1.3, at_s=4.0 + moment * APART_S)
-    played = play(restarts, tasks=3, length_s=0.3, entry_after_s=HEARTBEAT_S)
-    assert run_virtual(played, limit_s=400.0).world.problems == []
+def test_a_delayed_poll_discards_no_end_of_the_next_incarnation(moment: int) -> None:
+    """Guards against a poll that waits at the next incarnation and discards unreported ends."""
+    restarts = Restarts(down_s=0.01, times=4, every_s=1.3, at_s=4.0 + moment * MOMENT_INTERVAL_S)
+    scenario = play(restarts, tasks=3, length_s=0.3, entry_after_s=HEARTBEAT_S)
+    assert run_virtual(scenario, limit_s=400.0).world.problems == []
--- a/tests/host/test_entries_of_other_writers.py
+++ b/tests/host/test_entries_of_other_writers.py
@@ -1,4 +1,4 @@
-"""Entries that executors did not write: they name no executor, and all others hold."""
+"""Registry entries that no executor wrote identify no executor; the other entries stay valid."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.standins.memory_executor import MemoryExecutor
 from tests.virtual_time import run_virtual
 
-ODD = {
+FOREIGN_ENTRIES = {
     "bytes": lambda _world, _executor: b"\xff\xfe\x00",
     "cut": lambda world, executor: entry(world, executor)[:40],
     "unknown state": lambda world, executor: entry(world, executor, state="retired"),
@@ -20,43 +20,43 @@
     "unknown service": lambda world, executor: entry(world, executor, service="other"),
     "no capacity": lambda world, executor: entry(world, executor, capacity=None),
 }
-"""What another writer may put in place of an executor's entry."""
+"""Values that another writer may put in place of an executor's entry."""
 
-RENEWED_S = 1.5
-"""Time after which an executor has written its own entry again."""
+REWRITE_DELAY_S = 1.5
+"""Time after which an executor rewrites its own entry."""
 
 
 def entry(world: HallWorld, executor: MemoryExecutor, **changes: object) -> bytes:
     return json.dumps(world.entry_fields(executor.record, **changes)).encode()  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize("kind", ODD)
-def test_an_odd_entry_over_a_sound_one_stops_new_work_there(kind: str) -> None:
+@pytest.mark.parametrize("kind", FOREIGN_ENTRIES)
+def test_a_foreign_entry_over_a_valid_one_stops_new_work_on_its_executor(kind: str) -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
-        odd = next(iter(world.executors.values()))
-        world.enter(odd.record.executor_id, ODD[kind](world, odd))
+        overwritten = next(iter(world.executors.values()))
+        world.enter(overwritten.record.executor_id, FOREIGN_ENTRIES[kind](world, overwritten))
         # The owner reads registrations twice a second.
         await asyncio.sleep(0.7)
         for _ in range(10):
-            # More than the two others have room for at once.
+            # More tasks than the two other executors can run at once.
             await run_short(world, 20)
-        assert odd.last_number == 0
-        assert all(e.last_number for e in world.executors.values() if e is not odd)
+        assert overwritten.last_number == 0
+        assert all(e.last_number for e in world.executors.values() if e is not overwritten)
         return world
 
     assert run_virtual(play()).problems == []
 
 
-@pytest.mark.parametrize("kind", [kind for kind in ODD if kind != "unknown service"])
-def test_an_odd_entry_that_is_soon_written_anew_costs_no_run(kind: str) -> None:
+@pytest.mark.parametrize("kind", [kind for kind in FOREIGN_ENTRIES if kind != "unknown service"])
+def test_a_foreign_entry_that_is_soon_overwritten_ends_no_run(kind: str) -> None:
     async def play() -> HallWorld:
         world = HallWorld(executors_per_hall=4)
         await begin(world, standing=3)
         for executor in list(world.executors.values()):
-            world.enter(executor.record.executor_id, ODD[kind](world, executor))
-        await asyncio.sleep(RENEWED_S)
+            world.enter(executor.record.executor_id, FOREIGN_ENTRIES[kind](world, executor))
+        await asyncio.sleep(REWRITE_DELAY_S)
         for executor in world.executors.values():
             world.register(executor)
         await asyncio.sleep(10.0)
@@ -66,30 +66,30 @@
     assert_each_began_once(run_virtual(play()), 3)
 
 
-@pytest.mark.parametrize("kind", ODD)
-def test_standing_tasks_leave_an_executor_whose_entry_stays_odd(kind: str) -> None:
+@pytest.mark.parametrize("kind", FOREIGN_ENTRIES)
+def test_standing_tasks_leave_an_executor_whose_entry_stays_foreign(kind: str) -> None:
     async def play() -> HallWorld:
         world = HallWorld(executors_per_hall=4)
         await begin(world, standing=3)
-        odd = next(e for e in world.executors.values() if e.running)
-        world.enter(odd.record.executor_id, ODD[kind](world, odd))
+        overwritten = next(e for e in world.executors.values() if e.running)
+        world.enter(overwritten.record.executor_id, FOREIGN_ENTRIES[kind](world, overwritten))
         await asyncio.sleep(6.0)
-        assert not odd.running
+        assert not overwritten.running
         assert at_work(world) == 3
         return world
 
     assert run_virtual(play()).problems == []
 
 
-@pytest.mark.parametrize("kind", ODD)
-def test_an_odd_entry_at_a_sound_executors_address_takes_nothing_from_it(kind: str) -> None:
-    """An entry at the address of another one would prove that other one gone."""
+@pytest.mark.parametrize("kind", FOREIGN_ENTRIES)
+def test_a_foreign_entry_at_an_executors_address_ends_none_of_its_runs(kind: str) -> None:
+    """A valid entry at the address of another executor would prove that executor crashed."""
 
     async def play() -> HallWorld:
         world = HallWorld()
         await begin(world, standing=3)
         for number, executor in enumerate(list(world.executors.values())):
-            world.enter(f"odd-{number}", ODD[kind](world, executor))
+            world.enter(f"odd-{number}", FOREIGN_ENTRIES[kind](world, executor))
         await asyncio.sleep(10.0)
         await run_short(world, 20)
         assert at_work(world) == 3
@@ -101,7 +101,7 @@
     assert [len(world.starts[task]) for task in standing] == [1] * 3
 
 
-def test_a_key_that_is_no_text_names_no_executor_and_the_rest_of_the_read_holds() -> None:
+def test_a_key_that_is_not_text_is_ignored_and_the_other_entries_are_valid() -> None:
     async def play() -> HallWorld:
         world = HallWorld(executors_per_hall=0)
         await world.begin()
--- a/tests/host/test_executor_sizes.py
+++ b/tests/host/test_executor_capacities.py
@@ -1,4 +1,4 @@
-"""What halls tell of their executors, and how hosts judge jobs by it."""
+"""Executor capacities that halls publish, and that hosts use to check jobs."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 LARGE = Demand(48_000, 192_000)
 
 
-def told(*sizes: Demand) -> HallSummary:
+def summary_of(*sizes: Demand) -> HallSummary:
     return HallSummary(kinds=tuple(ExecutorKind("pool", s, frozenset(), 1) for s in sizes))
 
 
-def test_nothing_is_known_before_each_hall_has_told() -> None:
-    """The largest executors may be in the hall that has not."""
+def test_no_capacity_is_known_before_every_hall_has_published() -> None:
+    """The largest executors may be in the hall that has not published its summary yet."""
     capacities = ExecutorCapacities(2)
-    capacities.add_summary(0, told(SMALL))
+    capacities.add_summary(0, summary_of(SMALL))
     assert capacities.of("pool") == frozenset()
     capacities.add_summary(1, HallSummary())
     assert capacities.of("pool") == frozenset()
-    capacities.add_summary(1, told(LARGE))
+    capacities.add_summary(1, summary_of(LARGE))
     assert capacities.of("pool") == {SMALL, LARGE}
 
 
-def test_sizes_of_executors_that_are_gone_stay_known() -> None:
+def test_capacities_of_removed_executors_stay_known() -> None:
     capacities = ExecutorCapacities(1)
-    capacities.add_summary(0, told(SMALL, LARGE))
-    capacities.add_summary(0, told(SMALL))
+    capacities.add_summary(0, summary_of(SMALL, LARGE))
+    capacities.add_summary(0, summary_of(SMALL))
     assert capacities.of("pool") == {SMALL, LARGE}
     assert capacities.of("other") == frozenset()
 
 
-def test_a_summary_tells_kinds_in_few_bytes() -> None:
-    """A hall of 108 executors, 8 a rack, in two sizes."""
+def test_a_summary_encodes_executor_kinds_in_few_bytes() -> None:
+    """The hall has 108 executors of two sizes, 8 per rack."""
     kinds = tuple(
         ExecutorKind("finder", size, frozenset({"a", f"r1-{rack}"}), 4)
         for rack in range(14)
--- a/tests/host/test_lapses.py
+++ b/tests/host/test_expired_leases.py
@@ -1,4 +1,7 @@
-"""A lapse excuses a start between an end and its acknowledgement, and nothing else."""
+"""An expired lease permits a start only between an end and its acknowledgement.
+
+The tests check the rule of ``LapsingWorld``.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,17 @@
 from tests.lapses import LapsingWorld
 from tests.virtual_time import run_virtual
 
-APART_S = 1.0
-"""Time between any two of: an end, a lapse, a start, an acknowledgement."""
+EVENT_INTERVAL_S = 1.0
+"""Interval between two events."""
 
 
-def found(*events: str) -> list[str]:
-    """Return the rules that are broken where a task's end is followed by these events.
+def broken_rules(*events: str) -> list[str]:
+    """Return the rules that a sequence of events breaks, after the start of a task.
 
     Args:
-        events: ``start``, on an executor where nothing runs; ``lapse`` of the executor whose run
-            ended, ``renew`` as the next order finds that; ``note`` of the end.
+        events: ``end`` of the run; ``start`` of the task on an idle executor; ``lapse``, the expiry
+            of the first executor's lease; ``renew``, the renewal of that lease; ``note``, the
+            acknowledgement of the end.
     """
 
     async def play() -> list[str]:
@@ -30,7 +34,7 @@
         task = TaskName(spec.job_id, 0, 0, 0)
         world.judge_start(first, StartOrder("", task, 1, spec.payload, ""))
         for event in events:
-            await asyncio.sleep(APART_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
             if event == "end":
                 world.judge_end(first, task, 1, EndKind.DONE)
             elif event == "lapse":
@@ -47,33 +51,33 @@
     return run_virtual(play())
 
 
-def test_a_lapse_between_an_end_and_its_acknowledgement_excuses_a_start_between_them() -> None:
-    assert found("renew", "end", "lapse", "start", "renew", "note") == []
+def test_a_lease_expiry_between_end_and_acknowledgement_permits_a_start() -> None:
+    assert broken_rules("renew", "end", "lapse", "start", "renew", "note") == []
 
 
-def test_a_start_without_a_lapse_is_found() -> None:
-    assert found("renew", "end", "start", "renew", "note") == ["TWICE"]
+def test_a_start_without_a_lease_expiry_is_a_violation() -> None:
+    assert broken_rules("renew", "end", "start", "renew", "note") == ["TWICE"]
 
 
-def test_a_lapse_before_the_end_excuses_nothing() -> None:
-    assert found("lapse", "renew", "end", "start", "renew", "note") == ["TWICE"]
+def test_a_lease_expiry_before_the_end_permits_no_start() -> None:
+    assert broken_rules("lapse", "renew", "end", "start", "renew", "note") == ["TWICE"]
 
 
-def test_a_lapse_after_the_acknowledgement_excuses_nothing() -> None:
-    assert found("renew", "end", "note", "lapse", "renew", "start") == ["TWICE"]
+def test_a_lease_expiry_after_the_acknowledgement_permits_no_start() -> None:
+    assert broken_rules("renew", "end", "note", "lapse", "renew", "start") == ["TWICE"]
 
 
-def test_a_start_after_the_acknowledgement_is_found_though_a_lease_had_lapsed() -> None:
-    assert found("renew", "end", "lapse", "renew", "note", "start") == ["TWICE"]
+def test_a_start_after_the_acknowledgement_is_a_violation_after_a_lease_expiry() -> None:
+    assert broken_rules("renew", "end", "lapse", "renew", "note", "start") == ["TWICE"]
 
 
-def test_a_start_beside_a_run_is_found_whatever_lapsed() -> None:
+def test_a_start_during_a_run_is_a_violation_after_a_lease_expiry() -> None:
     async def play() -> list[str]:
         world = LapsingWorld()
         await world.begin()
         spec = world.new_job(step(1, estimate_s=30.0))
         assert await world.submit("east-host-0", spec) == 200
-        await asyncio.sleep(APART_S)
+        await asyncio.sleep(EVENT_INTERVAL_S)
         (first,) = (e for e in world.executors.values() if e.running)
         first.lapsed_at = first.now
         second = next(e for e in world.executors.values() if e is not first)
