--- a/tests/host/test_failed_jobs.py
+++ b/tests/host/test_failed_jobs.py
@@ -1,4 +1,4 @@
-"""The judge of days finds jobs that are shown as failed without cause, and only these."""
+"""The checker of scenarios reports jobs that fail without cause, and only these."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 GANG = step(2, gang=True)
 
 
-def decide(world: HallWorld, spec: JobSpec, state: JobState = JobState.FAILED) -> None:
-    """Write a job's final state as its owner does."""
+def write_final_state(world: HallWorld, spec: JobSpec, state: JobState = JobState.FAILED) -> None:
+    """Write the record of a job's final state as its owner does."""
     record = Finished(spec.job_id, state, 0, 0.0, spec.queue)
     world.store.put(JOBS, *encode(record))
 
@@ -34,7 +34,7 @@
 def end(
     executor: MemoryExecutor, spec: JobSpec, run: int, index: int = 0, kind: EndKind | None = None
 ) -> EndedTask:
-    """Let an executor list the end of a run, by default a failed one."""
+    """Make an executor report the end of a run, by default a failed one."""
     task, kind = TaskName(spec.job_id, 0, 0, index), kind or EndKind.FAILED
     ended = EndedTask(run, task, run, kind, "")
     executor.world.judge_end(executor, task, run, kind)
@@ -42,50 +42,52 @@
     return ended
 
 
-async def with_executors() -> tuple[HallWorld, list[MemoryExecutor]]:
+async def world_and_executors() -> tuple[HallWorld, list[MemoryExecutor]]:
     world = HallWorld()
     await world.begin()
     return world, list(world.executors.values())
 
 
 @pytest.mark.parametrize("failed_ends", [0, 1, 2, 3])
-def test_failed_ends_are_cause_from_as_many_on_as_the_queue_allows(failed_ends: int) -> None:
+def test_failed_ends_are_a_cause_once_the_queue_allows_no_more(
+    failed_ends: int,
+) -> None:
     async def play() -> HallWorld:
-        world, (executor, *_) = await with_executors()
+        world, (executor, *_) = await world_and_executors()
         spec = new_job(world, step())
         for run in range(1, failed_ends + 1):
             end(executor, spec, run)
             end(executor, spec, run)
-        decide(world, spec)
+        write_final_state(world, spec)
         return world
 
-    found = ["LOST" for line in run_virtual(play()).problems if "without cause" in line]
-    assert found == ["LOST"] * (failed_ends < 3)
+    violations = ["LOST" for line in run_virtual(play()).problems if "without cause" in line]
+    assert violations == ["LOST"] * (failed_ends < 3)
 
 
 def test_ends_of_several_tasks_and_other_ends_are_no_cause() -> None:
     async def play() -> HallWorld:
-        world, (executor, *_) = await with_executors()
+        world, (executor, *_) = await world_and_executors()
         spec = new_job(world, step(9))
         for index in range(9):
             end(executor, spec, 1, index)
             end(executor, spec, 2, index)
             for run, kind in enumerate((EndKind.LAPSED, EndKind.STOPPED, EndKind.ALONE), 3):
                 end(executor, spec, run, index, kind)
-        decide(world, spec)
+        write_final_state(world, spec)
         return world
 
     (line,) = run_virtual(play()).problems
     assert "without cause" in line
 
 
-def test_a_cause_that_comes_after_the_record_is_none() -> None:
+def test_a_cause_after_the_final_record_does_not_count() -> None:
     async def play() -> HallWorld:
-        world, (executor, *_) = await with_executors()
+        world, (executor, *_) = await world_and_executors()
         spec = new_job(world, step())
         end(executor, spec, 1)
         end(executor, spec, 2)
-        decide(world, spec)
+        write_final_state(world, spec)
         end(executor, spec, 3)
         return world
 
@@ -96,19 +98,19 @@
 @pytest.mark.parametrize("runs", [2, 3])
 def test_a_gang_fails_once_a_run_however_many_members_do(runs: int) -> None:
     async def play() -> HallWorld:
-        world, (first, second, *_) = await with_executors()
+        world, (first, second, *_) = await world_and_executors()
         spec = new_job(world, GANG)
         for run in range(1, runs + 1):
             end(first, spec, run, 0)
             end(second, spec, run, 1)
-        decide(world, spec)
+        write_final_state(world, spec)
         return world
 
     assert len(run_virtual(play()).problems) == (runs < 3)
 
 
 @pytest.mark.parametrize("fallen", [1, 2])
-def test_two_executors_that_fell_under_one_task_are_cause(fallen: int) -> None:
+def test_two_crashes_under_one_task_are_a_cause(fallen: int) -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
@@ -116,17 +118,17 @@
         assert await world.submit("east-host-0", spec) == 200
         for _ in range(fallen):
             await asyncio.sleep(8.0)
-            (where,) = (a for a, e in world.executors.items() if e.running)
-            world.crash_executor(where)
-        decide(world, spec)
+            (address,) = (a for a, e in world.executors.items() if e.running)
+            world.crash_executor(address)
+        write_final_state(world, spec)
         return world
 
     assert len(run_virtual(play()).problems) == (fallen < 2)
 
 
-def test_what_a_caller_is_shown_is_judged_like_the_record() -> None:
+def test_a_state_shown_to_a_caller_is_checked_like_a_record() -> None:
     async def play() -> HallWorld:
-        world, _ = await with_executors()
+        world, _ = await world_and_executors()
         spec = new_job(world, step())
         world.judge_failed(spec.job_id, "at east-host-0")
         return world
@@ -137,9 +139,9 @@
 
 def test_other_final_states_need_no_cause() -> None:
     async def play() -> HallWorld:
-        world, _ = await with_executors()
+        world, _ = await world_and_executors()
         for state in (JobState.SUCCEEDED, JobState.CANCELLED):
-            decide(world, new_job(world, step()), state)
+            write_final_state(world, new_job(world, step()), state)
         return world
 
     assert run_virtual(play()).problems == []
@@ -150,11 +152,11 @@
     executor.world.judge_start(executor, StartOrder("", task, run, spec.payload, ""))
 
 
-async def budget_broken(
-    steps: StepSpec, *, runs: int = 3, noted_first: bool, lapsed: bool = False
+async def broken_rules(
+    steps: StepSpec, *, runs: int = 3, noted_first: bool, lease_expired: bool = False
 ) -> list[str]:
-    """Return what is found where all members of a job fail some runs and one starts again."""
-    world, executors = await with_executors()
+    """Return the violations if all tasks of a job fail in some runs and one is started again."""
+    world, executors = await world_and_executors()
     spec = new_job(world, steps)
     ended = [
         (executor, end(executor, spec, run, index))
@@ -165,7 +167,7 @@
         world.judge_acknowledged(executor, failed)
     await asyncio.sleep(0.1)
     start(executors[0], spec, runs + 1)
-    if lapsed:
+    if lease_expired:
         for executor in executors:
             executor.lapsed_at = executor.now
     for executor, failed in () if noted_first else ended:
@@ -175,19 +177,19 @@
 
 @pytest.mark.parametrize("steps", [step(), GANG])
 @pytest.mark.parametrize("noted_first", [False, True])
-def test_a_start_after_as_many_failed_runs_as_are_allowed_is_found(
+def test_a_start_after_the_maximum_number_of_failed_runs_is_a_violation(
     steps: StepSpec, noted_first: bool
 ) -> None:
-    """Whether owners took note of the ends before the start or after it."""
-    assert run_virtual(budget_broken(steps, noted_first=noted_first)) == ["BUDGET"]
-    assert run_virtual(budget_broken(steps, noted_first=noted_first, runs=2)) == []
+    """The owner may acknowledge the ends before the start or after it."""
+    assert run_virtual(broken_rules(steps, noted_first=noted_first)) == ["BUDGET"]
+    assert run_virtual(broken_rules(steps, noted_first=noted_first, runs=2)) == []
 
 
-def test_failed_runs_of_several_members_are_a_gang_s() -> None:
-    """One member failed in two runs, another one in the third."""
+def test_failed_runs_of_different_members_count_for_the_gang() -> None:
+    """One member fails in two runs, another one in the third."""
 
     async def play() -> list[str]:
-        world, (first, second, *_) = await with_executors()
+        world, (first, second, *_) = await world_and_executors()
         spec = new_job(world, GANG)
         ended = [(first, end(first, spec, run)) for run in (1, 2)]
         ended.append((second, end(second, spec, 3, 1)))
@@ -199,6 +201,6 @@
     assert run_virtual(play()) == ["BUDGET"]
 
 
-def test_a_lapse_before_ends_are_noted_excuses_a_start_before_that_and_none_after() -> None:
-    assert run_virtual(budget_broken(step(), noted_first=False, lapsed=True)) == []
-    assert run_virtual(budget_broken(step(), noted_first=True, lapsed=True)) == ["BUDGET"]
+def test_an_expired_lease_permits_a_start_only_before_the_acknowledgement() -> None:
+    assert run_virtual(broken_rules(step(), noted_first=False, lease_expired=True)) == []
+    assert run_virtual(broken_rules(step(), noted_first=True, lease_expired=True)) == ["BUDGET"]
--- a/tests/host/test_failing_gangs.py
+++ b/tests/host/test_failing_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs whose members fail, while owners change and their writes are lost."""
+"""Failed runs of gangs count once, although owners change and their writes are lost."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 @pytest.mark.parametrize("seed", [3, 7, 28, 31, 33, 35, 38, 43])
-def test_a_failed_run_of_a_gang_counts_once_over_changes_of_owners(seed: int) -> None:
-    """Guards against a gang's job shown as failed for one failed run, counted once a member.
+def test_a_failed_run_of_a_gang_counts_once_although_owners_change(seed: int) -> None:
+    """Guards against a gang's job that fails after one failed run, counted once per member.
 
-    The run of one member was counted by one owner, and another member's by the next one.
+    One owner counted the end of one member, and the next owner that of another member.
     """
-    played = run_virtual(failing_gangs(seed), limit_s=400.0)
-    assert played.world.problems == []
-    assert set(played.states) <= {"succeeded", "failed"}
+    outcome = run_virtual(failing_gangs(seed), limit_s=400.0)
+    assert outcome.world.problems == []
+    assert set(outcome.states) <= {"succeeded", "failed"}
--- a/tests/host/test_first_lease.py
+++ b/tests/host/test_first_lease.py
@@ -1,14 +1,13 @@
-"""A run that was found at an executor is waited for, also where nothing was leased there yet.
+"""An owner waits for a run that it found at an executor before it granted a lease there.
 
-What was seen: a task ran on two executors at once. A new owner had found its run by the first
-report of an executor, then had no answer from it, and started the task elsewhere at once.
+Guards against a task that runs on two executors at once: a new owner found the run by the first
+report of an executor, then got no answer from the executor and started the task elsewhere at once.
 
-How it came about: an owner leases with its second call to an executor, and only while its
-ownership is proved. One that had just recovered was not proved: the store had been away, or
-its process had stood still. The executor's silence then counted as a lease that ended, since
-this owner had granted none; that of the former owner went on.
-
-What proved it: the plays below; they keep the promise with an executor that goes on answering.
+An owner grants a lease with its second call to an executor, and only while its ownership is proved.
+The ownership of an owner that has just recovered is unproved if the store was down or its process
+was frozen. The executor's silence then counted as an expired lease, since this owner had granted
+none, while the lease of the previous owner was still valid. With an executor that keeps answering,
+the scenarios pass either way.
 """
 
 from __future__ import annotations
@@ -23,59 +22,63 @@
 from tests.standins.memory_executor import MemoryExecutor
 from tests.virtual_time import run_virtual
 
-LOOK_S = 0.002
-"""Time between looks at what a host knows."""
+CHECK_INTERVAL_S = 0.002
+"""Interval between checks of the state of a host."""
 
-WAIT_S = 20.0
-"""Longest time until a successor has claimed the shard, or has heard of an executor."""
+MAX_WAIT_S = 20.0
+"""Longest time until the next owner has claimed the shard, or has a report of an executor."""
 
-AWAY_S = 11.0
-"""Time for which the store is away after a claim: longer than an owner acts unproved."""
+STORE_DOWN_S = 11.0
+"""Time for which the store is down after a claim: longer than an owner acts without proof."""
 
-STILL_S = 1.5
-"""Time for which a process stands still."""
+FREEZE_S = 1.5
+"""Duration of a freeze."""
 
-SILENT_S = 15.0
+EXECUTOR_SILENCE_S = 15.0
 """Time for which an executor does not answer: longer than a lease."""
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_run_is_waited_for_though_the_store_was_away_after_the_claim(silent: bool) -> None:
+def test_an_owner_waits_for_a_run_if_the_store_was_down_after_its_claim(silent: bool) -> None:
     async def play() -> HallWorld:
-        world, first, second, busy = await _working()
+        world, first, second, busy = await _start_task()
         world.store.silent.add(first)
         await until(
             lambda: world.hosts[second].host.candidates[0].tenure is not None,
-            limit_s=WAIT_S,
-            look_s=LOOK_S,
+            limit_s=MAX_WAIT_S,
+            look_s=CHECK_INTERVAL_S,
         )
         world.store.silent.add(second)
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(STORE_DOWN_S)
         world.store.silent.discard(second)
-        await until(lambda: _has_heard(world, second, busy), limit_s=WAIT_S, look_s=LOOK_S)
-        await _keep_from(world, second, busy, silent)
+        await until(
+            lambda: _has_report(world, second, busy), limit_s=MAX_WAIT_S, look_s=CHECK_INTERVAL_S
+        )
+        await _wait_out_lease(world, second, busy, silent)
         return world
 
     assert run_virtual(play()).problems == []
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_run_is_waited_for_though_its_owner_stood_still(silent: bool) -> None:
+def test_an_owner_waits_for_a_run_after_a_freeze(silent: bool) -> None:
     async def play() -> HallWorld:
-        world, first, second, busy = await _working()
+        world, first, second, busy = await _start_task()
         world.kill_host(first)
-        await until(lambda: _has_heard(world, second, busy), limit_s=WAIT_S, look_s=LOOK_S)
+        await until(
+            lambda: _has_report(world, second, busy), limit_s=MAX_WAIT_S, look_s=CHECK_INTERVAL_S
+        )
         running = world.hosts[second]
         world.freeze_host(second)
-        await asyncio.sleep(STILL_S)
+        await asyncio.sleep(FREEZE_S)
         world.thaw(running)
-        await _keep_from(world, second, busy, silent)
+        await _wait_out_lease(world, second, busy, silent)
         return world
 
     assert run_virtual(play()).problems == []
 
 
-async def _working() -> tuple[HallWorld, str, str, MemoryExecutor]:
+async def _start_task() -> tuple[HallWorld, str, str, MemoryExecutor]:
     """Return a hall, its owner, its other host and the executor that runs a task."""
     world = HallWorld(lists_machines=False)
     await world.begin()
@@ -89,14 +92,14 @@
     return world, first, second, busy
 
 
-def _has_heard(world: HallWorld, host: str, busy: MemoryExecutor) -> bool:
-    """Whether a host owns the shard and has an executor's first report."""
+def _has_report(world: HallWorld, host: str, busy: MemoryExecutor) -> bool:
+    """Return whether a host owns the shard and has an executor's first report."""
     tenure = world.hosts[host].host.candidates[0].tenure
     known = tenure.core.executors.get(busy.incarnation_name) if tenure else None
     return bool(known and known.has_reported)
 
 
-async def _keep_from(world: HallWorld, host: str, busy: MemoryExecutor, silent: bool) -> None:
+async def _wait_out_lease(world: HallWorld, host: str, busy: MemoryExecutor, silent: bool) -> None:
     if silent:
         world.cuts.add((host, busy.record.address))
-    await asyncio.sleep(SILENT_S)
+    await asyncio.sleep(EXECUTOR_SILENCE_S)
--- a/tests/host/test_first_read.py
+++ b/tests/host/test_first_read.py
@@ -1,18 +1,15 @@
-"""A job that was done was started again, in another hall, by a host that had just started.
-
-What was seen: run 1 of two tasks ended well in one hall and was taken note of. Seconds
-later, after most hosts had been killed and had started again, the owner of another hall
-began run 1 of the same tasks.
-
-How it came about: a host that starts lists the newest record of each job key, page by
-page, while callers already ask it for jobs; each question listed the keys once more,
-beside the first listing. A job ended between the first page of one listing and its
-last: the early page did not yet have the job's end, the late page had its submission no
-more. The other listing had the end, but was applied first; the older one then forgot
-the job, and what had been written since was not read again. A host that had stood still
-in the meantime sent in the job once more, for its own hall, and there it counted as new.
-
-What proved it: the tests below; the first of them needs nothing but one host.
+"""Overlapping first reads of the job records do not make a host forget a finished job.
+
+Guards against a finished job that is started again in another hall. In an incident run 1 of two
+tasks ended in one hall and was acknowledged; seconds later, after most hosts had been killed and
+restarted, the owner of another hall started run 1 of the same tasks.
+
+A starting host reads a snapshot of the job keys page by page while callers already query jobs, and
+each query read another snapshot at the same time. A job ended between the first and the last page
+of one snapshot: the early page lacked the final record, and the late page no longer had the
+submission. The other snapshot had the final record but was applied first; the older one then
+removed the job, and the records written in between were not read again. A host that was frozen in
+the meantime resubmitted the job for its own hall, where it counted as new.
 """
 
 from __future__ import annotations
@@ -30,18 +27,18 @@
 from tests.virtual_time import run_virtual
 
 SECOND_PAGE_S = 0.4
-"""Time that the second page of the first listing takes."""
+"""Duration of the read of the second page of the first snapshot."""
 
 
-def test_an_older_listing_does_not_forget_a_finished_job() -> None:
-    """The job is asked for while the host reads the records for the first time."""
+def test_an_older_snapshot_does_not_remove_a_finished_job() -> None:
+    """A caller queries the job during the host's first read of the records."""
 
     async def play() -> str:
         world = HallWorld(hosts_per_hall=1, executors_per_hall=0)
         await world.begin()
-        spec = await _waiting_beside_many(world, shard=0)
+        spec = await _write_job_and_many_finished(world, shard=0)
         world.kill_host("east-host-0")
-        _start_with_slow_listing(world, "east-host-0", SECOND_PAGE_S)
+        _start_with_slow_snapshot(world, "east-host-0", SECOND_PAGE_S)
         await asyncio.sleep(SECOND_PAGE_S / 2)
         for record in (_finished(spec), Tombstone("s", spec.job_id, "life-x")):
             world.store.put(JOBS, *encode(record))
@@ -53,24 +50,24 @@
 
 
 def test_a_finished_job_is_not_started_again_in_another_hall() -> None:
-    """A host that stood still sends the job in once more when it goes on."""
+    """A frozen host resubmits the job when it resumes."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"))
         await world.begin()
         owner = world.owner(0)
         assert owner
-        still = next(n for n, hall in world.host_names() if hall == "east" and n != owner)
-        world.freeze_host(still)
-        spec = await _waiting_beside_many(world, shard=1)
-        late = asyncio.create_task(world.submit(still, spec, patience_s=20.0))
+        frozen = next(n for n, hall in world.host_names() if hall == "east" and n != owner)
+        world.freeze_host(frozen)
+        spec = await _write_job_and_many_finished(world, shard=1)
+        submission = asyncio.create_task(world.submit(frozen, spec, patience_s=20.0))
         world.kill_host(owner)
-        _start_with_slow_listing(world, owner, 2.0)
+        _start_with_slow_snapshot(world, owner, 2.0)
         await world.wait_for("west-host-0", spec.job_id, "succeeded", limit_s=1.9)
         await world.ask(owner, spec.job_id)
         await asyncio.sleep(3.0)
-        world.thaw(world.hosts[still])
-        assert await late == 200
+        world.thaw(world.hosts[frozen])
+        assert await submission == 200
         await asyncio.sleep(3.0)
         return world
 
@@ -79,8 +76,8 @@
     assert [len(times) for times in world.starts.values()] == [1, 1]
 
 
-async def _waiting_beside_many(world: HallWorld, *, shard: int) -> JobSpec:
-    """Write a job and so many that are done that their keys take more than a page."""
+async def _write_job_and_many_finished(world: HallWorld, *, shard: int) -> JobSpec:
+    """Write a job, and so many finished jobs that their keys take more than one page."""
     spec = world.new_job(step(2, estimate_s=0.8))
     world.specs[spec.job_id] = spec
     world.store.put(JOBS, *encode(Submitted(spec, shard, 0.0, "life-x")))
@@ -94,7 +91,7 @@
     return Finished(spec.job_id, JobState.SUCCEEDED, 0, time.time(), spec.queue)
 
 
-def _start_with_slow_listing(world: HallWorld, name: str, second_page_s: float) -> None:
-    """Start a host whose first listing of the jobs takes long for its second page."""
+def _start_with_slow_snapshot(world: HallWorld, name: str, second_page_s: float) -> None:
+    """Start a host whose first snapshot of the job keys has a slow second page."""
     world.store.page_delays[name, JOBS] = [0.0, second_page_s]
     world.start_host(name)
--- a/tests/host/test_hall_world.py
+++ b/tests/host/test_hall_world.py
@@ -1,4 +1,4 @@
-"""Whole hosts in virtual time: what must hold when hosts, store and orders fail."""
+"""Whole hosts in virtual time run each job once while hosts, the store and orders fail."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert [len(times) for times in world.starts.values()] == [1, 1, 1]
 
 
-def test_work_goes_on_while_the_store_is_away() -> None:
+def test_tasks_continue_while_the_store_is_down() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
@@ -85,7 +85,7 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_standing_task_is_back_soon_after_its_executor_crashed() -> None:
+def test_a_standing_task_restarts_soon_after_its_executor_crashed() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
@@ -101,10 +101,10 @@
 
 
 @pytest.mark.parametrize("lists_machines", [True, False])
-def test_an_executor_lost_for_good_holds_work_up_no_longer_than_its_lease(
+def test_a_lost_executor_delays_its_tasks_no_longer_than_its_lease(
     lists_machines: bool,
 ) -> None:
-    """Looks at a silent executor must not renew its lease."""
+    """Unanswered polls of a silent executor must not renew its lease."""
 
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=lists_machines, executors_per_hall=4)
@@ -122,22 +122,22 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_troubles_break_no_promise(seed: int) -> None:
-    world = run_virtual(_random_day(seed), limit_s=400.0)
+def test_random_faults_cause_no_violation(seed: int) -> None:
+    world = run_virtual(_run_random_scenario(seed), limit_s=400.0)
     assert world.problems == []
 
 
-async def _random_day(seed: int) -> HallWorld:
+async def _run_random_scenario(seed: int) -> HallWorld:
     world = HallWorld(halls=("east", "west"), seed=seed, failing_share=0.03)
     world.lists_machines = seed % 3 > 0
     random = world.random
     await world.begin()
     world.late_share = random.choice((0.0, 0.05))
     world.lost_answer_share = random.choice((0.0, 0.05))
-    callers = asyncio.create_task(_call(world))
+    submissions = asyncio.create_task(_submit_jobs(world))
     for _ in range(10):
         await asyncio.sleep(random.uniform(0.5, 3.0))
-        await _trouble(world)
+        await _inject_fault(world)
     world.late_share = world.lost_answer_share = world.store.losing = 0.0
     world.store.refusing.clear()
     world.store.silent.clear()
@@ -145,7 +145,7 @@
     for name, _ in world.host_names():
         if name not in world.hosts:
             world.start_host(name)
-    await callers
+    await submissions
     await asyncio.sleep(45.0)
     for job_id in world.accepted:
         state = await world.state("east-host-0", job_id)
@@ -154,7 +154,7 @@
     return world
 
 
-async def _call(world: HallWorld) -> None:
+async def _submit_jobs(world: HallWorld) -> None:
     for _ in range(25):
         await asyncio.sleep(world.random.uniform(0.1, 1.0))
         first = step(world.random.randint(1, 5), estimate_s=world.random.uniform(0.3, 2.0))
@@ -167,23 +167,23 @@
                 break
 
 
-async def _trouble(world: HallWorld) -> None:
+async def _inject_fault(world: HallWorld) -> None:
     random = world.random
     kind = random.choice(
         ("kill", "kill owner", "kill all", "refuse", "silent", "lose", "forget", "crash", "cut")
     )
     names = [name for name, _ in world.host_names()]
-    victims = [random.choice(names)]
+    affected = [random.choice(names)]
     if kind == "kill owner":
-        victims = [name for shard in (0, 1) if (name := world.owner(shard))]
+        affected = [name for shard in (0, 1) if (name := world.owner(shard))]
     if kind == "kill all":
-        victims = names
+        affected = names
     if kind.startswith("kill"):
-        for name in victims:
+        for name in affected:
             if name in world.hosts:
                 world.kill_host(name)
         await asyncio.sleep(random.uniform(0.2, 2.0))
-        for name in victims:
+        for name in affected:
             if name not in world.hosts:
                 world.start_host(name)
     elif kind == "crash":
@@ -200,7 +200,7 @@
 
 
 async def _outage(world: HallWorld, kind: str, names: list[str]) -> None:
-    length = world.random.uniform(1.0, 6.0)
+    duration_s = world.random.uniform(1.0, 6.0)
     if kind == "refuse":
         world.store.refusing.update(names)
     elif kind == "silent":
@@ -215,15 +215,15 @@
                 world.cut(name, "west")
             else:
                 world.cut(name, "east")
-    await asyncio.sleep(length)
+    await asyncio.sleep(duration_s)
     world.store.refusing.clear()
     world.store.silent.clear()
     world.cuts.clear()
     world.store.losing = 0.0
 
 
-def test_a_job_sent_twice_to_one_host_has_one_record() -> None:
-    """A second record under the same key would hide the first from hosts that start."""
+def test_a_job_submitted_twice_to_one_host_has_one_record() -> None:
+    """A second record under the same key would hide the first one from starting hosts."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"))
@@ -247,8 +247,8 @@
     assert world.problems == []
 
 
-def test_a_host_that_has_not_read_the_jobs_takes_none() -> None:
-    """It would write a second record of a job, for another hall."""
+def test_a_host_that_has_not_read_the_jobs_accepts_none() -> None:
+    """Such a host would write a second record of a job, for another hall."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"))
@@ -258,7 +258,7 @@
         await asyncio.sleep(0.2)
         world.kill_host("west-host-1")
         started = world.start_host("west-host-1")
-        # The configuration may be read well before the jobs, from a slow store.
+        # With a slow store the configuration may be read long before the jobs.
         started.host.configuration._activate(Entry(0, b"3", b"config"))
         assert await world.submit("west-host-1", spec) == 503
         await world.wait_for("west-host-0", spec.job_id, "succeeded")
@@ -271,7 +271,7 @@
 
 
 def test_a_pruned_job_does_not_come_back() -> None:
-    """A submission that was sent again outlasted the end of its job."""
+    """Guards against a repeated submission that outlives the final record of its job."""
 
     async def play() -> HallWorld:
         world = HallWorld()
@@ -293,8 +293,8 @@
     assert [len(times) for times in world.starts.values()] == [1]
 
 
-def test_a_host_that_was_refused_once_takes_jobs_again() -> None:
-    """Nothing else wrote there, so its writer counted as refused for good."""
+def test_a_host_accepts_jobs_again_after_a_refused_write() -> None:
+    """Guards against a writer that stays refused while nobody else writes to the partition."""
 
     async def play() -> HallWorld:
         world = HallWorld()
--- a/tests/host/test_impossible.py
+++ b/tests/host/test_impossible.py
@@ -1,4 +1,4 @@
-"""What is known to be impossible is refused at once; all else is not."""
+"""Jobs with a step that fits no known executor are refused on submission, and no other jobs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 STEPS = st.builds(StepSpec, count=st.just(1), demand=SIZES, best_effort=st.booleans())
 
 
-def test_a_job_that_no_executor_is_large_enough_for_is_refused_at_once() -> None:
+def test_a_job_that_exceeds_every_executor_is_refused_on_submission() -> None:
     async def play() -> tuple[HallWorld, list[int]]:
         world = HallWorld()
         await world.begin()
@@ -31,11 +31,11 @@
     assert statuses == [200, 429]
     (refused,) = world.log.named("JOB_REFUSED")
     assert "larger than any executor" in refused["reason"]
-    assert len(world.starts) <= 1, "what was refused never runs"
+    assert len(world.starts) <= 1, "a refused job must never run"
 
 
-def test_an_executor_that_crashed_still_counts() -> None:
-    """Its successor may come back at any time: the job can wait for it."""
+def test_the_capacity_of_a_crashed_executor_still_counts() -> None:
+    """The executor may restart at any time, so the job can wait for it."""
 
     async def play() -> int:
         world = HallWorld(executors_per_hall=1)
--- a/tests/host/test_job_book.py
+++ b/tests/host/test_job_registry.py
@@ -1,4 +1,4 @@
-"""What a host's view of the jobs tells its listeners, and when."""
+"""A host's registry of the jobs reports consistent states to its listeners and callers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from tests.virtual_time import run_virtual
 
 
-def test_listeners_hear_of_a_job_as_it_is_at_the_end_of_what_was_written() -> None:
-    """An owner that had fallen behind started a job that had moved on long ago."""
+def test_listeners_get_the_state_of_a_job_after_all_records_are_applied() -> None:
+    """Guards against an owner with a read backlog that starts a job that has moved away since."""
 
     async def play() -> list[int | None]:
         world = HallWorld()
         store = MemoryStore()
         spec = world.new_job(step(1))
         job_registry = JobRegistry(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
-        work = asyncio.create_task(job_registry.follower.run())
+        follower = asyncio.create_task(job_registry.follower.run())
         await asyncio.sleep(0.1)
-        heard: list[int | None] = []
-        job_registry.subscribe(lambda job_id: heard.append(_shard(job_registry, job_id)))
+        shards: list[int | None] = []
+        job_registry.subscribe(lambda job_id: shards.append(_shard(job_registry, job_id)))
         store.silent.add("host")
         await asyncio.sleep(3.0)
         store.put(JOBS, *encode(Submitted(spec, 0, 0.0, "life-x")))
@@ -35,23 +35,23 @@
         store.put(JOBS, *encode(Moved(spec.job_id, 1)))
         store.silent.clear()
         await asyncio.sleep(3.0)
-        work.cancel()
-        return heard
+        follower.cancel()
+        return shards
 
-    heard = run_virtual(play())
-    assert sorted(set(heard)) == [1, 7]
-    assert len(heard) == READ_RECORDS + 1
+    shards = run_virtual(play())
+    assert sorted(set(shards)) == [1, 7]
+    assert len(shards) == READ_RECORDS + 1
 
 
-def test_an_own_record_does_not_count_before_those_in_front_of_it() -> None:
-    """An owner that recovered just then took in a job that lived in another hall."""
+def test_a_hosts_own_record_does_not_count_before_earlier_records() -> None:
+    """Guards against an owner that adopts a job of another hall if it recovers at that time."""
 
     async def play() -> tuple[int, list[str]]:
         world = HallWorld(halls=("east", "west"))
         await world.begin()
         idle = next(name for name in world.hosts if name not in (world.owner(0), world.owner(1)))
         shard = world.halls.index(dict(world.host_names())[idle])
-        # The host reads this job and then pauses its reading for a second.
+        # The host reads this job and then pauses its reads for a second.
         await world.submit(idle, world.new_job(step(1)))
         await asyncio.sleep(0.05)
         spec = world.new_job(step(1))
@@ -65,7 +65,7 @@
     assert run_virtual(play()) == (200, [])
 
 
-def test_a_job_that_was_just_accepted_is_known() -> None:
+def test_a_newly_accepted_job_is_known() -> None:
     async def play() -> str:
         world = HallWorld()
         await world.begin()
@@ -76,8 +76,8 @@
     assert run_virtual(play()) in ("queued", "running")
 
 
-def test_a_job_that_was_accepted_right_after_a_read_is_known() -> None:
-    """The view that was young enough for others did not hold the job yet."""
+def test_a_job_accepted_right_after_a_read_is_known() -> None:
+    """A read that is recent enough for other queries does not contain the job yet."""
 
     async def play() -> str:
         world = HallWorld()
@@ -90,8 +90,8 @@
     assert run_virtual(play()) in ("queued", "running")
 
 
-def test_an_accepted_job_stays_known_over_a_read_that_was_asked_before() -> None:
-    """Forgotten then, it would be written a second time when a caller sends it again."""
+def test_an_accepted_job_stays_known_after_a_read_that_began_before() -> None:
+    """A registry that drops the job would write it twice when a caller resubmits it."""
 
     async def play() -> tuple[bool, bool]:
         store = MemoryStore()
@@ -100,7 +100,7 @@
         await job_registry.refresh(max_age_s=0.0)
         spec = HallWorld().new_job(step(1))
         reading = asyncio.create_task(job_registry.refresh(max_age_s=0.0))
-        await asyncio.sleep(READ_S / 2)
+        await asyncio.sleep(READ_DELAY_S / 2)
         offset = await job_registry.write([Submitted(spec, 0, 0.0, "life-1")])
         job_registry.note_accepted(spec.job_id, offset)
         assert await reading
@@ -112,7 +112,7 @@
 
 
 def test_a_job_that_was_read_back_and_removed_is_not_known() -> None:
-    """What is kept of accepted jobs until they are read would grow without end."""
+    """Guards against accepted jobs that are kept for ever although they were read back."""
 
     async def play() -> list[bool]:
         store = MemoryStore()
@@ -126,7 +126,7 @@
         store.put(JOBS, *encode(Tombstone("s", spec.job_id, "life-1")))
         await job_registry.refresh(max_age_s=0.0)
         known.append(job_registry.knows(spec.job_id))
-        # An answer to the write that comes after the record was read back.
+        # The answer to the write arrives after the record was read back.
         job_registry.note_accepted(spec.job_id, offset)
         known.append(job_registry.knows(spec.job_id))
         writing.cancel()
@@ -135,14 +135,14 @@
     assert run_virtual(play()) == [True, False, False]
 
 
-READ_S = 0.1
-"""Time that the answer to a read takes on its way back."""
+READ_DELAY_S = 0.1
+"""Delay of the answer to a read."""
 
 
 class _SlowReads(StoreLink):
     async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
         page = await super().read(partition, start, wait_s=wait_s)
-        await asyncio.sleep(READ_S)
+        await asyncio.sleep(READ_DELAY_S)
         return page
 
 
--- a/tests/host/test_last_owner_but_one.py
+++ b/tests/host/test_leases_of_earlier_owners.py
@@ -1,19 +1,15 @@
-"""A run of an owner that is cut from the store outlives the owners after it.
+"""An owner waits for the leases of all owners before it that may still act.
 
-What was seen: a task ran on two executors at once. It was started by an owner that lost the
-store and went on giving leases at an executor that its successor did not reach.
+Guards against a task that runs on two executors at once. The first owner loses the store and keeps
+granting leases at an executor that the second owner can't reach.
 
-How it came about: an owner acts for a while without the store, and what it leases lasts for a
-lease more. Its successor waits that long for executors that do not answer it. That successor
-was killed soon after its claim, and its host started again, claimed the shard from its own
-earlier life and waited for one lease only: an earlier life of a host can't act any more, but
-the owner before it could.
+An owner acts for a limited time without the store, and its leases last for one lease longer. The
+second owner waits that long for executors that do not answer. If it is killed soon after its claim,
+its host restarts and claims the shard from its own previous incarnation. It must not wait for one
+lease only: the previous incarnation can't act any more, but the first owner can.
 
-A job of which nothing was written yet moves whole by the same way, and begins at run 1 in the
-other hall.
-
-What proved it: the first play, in which only the kill of the successor is more than in the
-second one; the second keeps the promise.
+In the same way a job without any progress record moves as a whole and starts at run 1 in the other
+hall. Without the kill of the second owner the scenarios pass either way.
 """
 
 from __future__ import annotations
@@ -31,19 +27,19 @@
 from tests.job_builders import step
 from tests.virtual_time import run_virtual
 
-CLAIMED_WITHIN_S = 5.0
-"""Longest time within which a silent owner's successor claims the shard."""
+MAX_CLAIM_DELAY_S = 5.0
+"""Longest time until the next owner claims the shard of a silent owner."""
 
 DOWN_S = 0.5
-"""Time for which a killed host is down."""
+"""Time between a claim and the kill of the owner, and between the kill and the restart."""
 
-UNWRITTEN_S = 0.03
-"""Time after an acceptance by which the first tasks run and no progress is written yet."""
+UNRECORDED_S = 0.03
+"""Time after an acceptance by which the first tasks run and no progress is on record yet."""
 
 
 @pytest.mark.parametrize("killed", [True, False])
-def test_the_last_owner_but_one_is_waited_for(killed: bool) -> None:
-    """Its successor does not reach the executor on which it runs a task."""
+def test_an_owner_waits_for_the_leases_of_the_owner_before_the_previous_one(killed: bool) -> None:
+    """The second owner can't reach the executor on which the first owner runs a task."""
 
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
@@ -54,19 +50,19 @@
         spec = world.new_job(step(1, estimate_s=LONG_S))
         assert await world.submit(first, spec) == 200
         await asyncio.sleep(BEGUN_S)
-        # One side of a cut has the first owner and that executor, the other one all else.
+        # Cuts the first owner and that executor off from the other host and executors.
         for address, executor in world.executors.items():
             world.cuts.add((second if executor.running else first, address))
         world.store.silent.add(first)
-        await _follow(world, second, killed)
+        await _take_over(world, second, killed)
         return world
 
     assert run_virtual(play()).problems == []
 
 
 @pytest.mark.parametrize("killed", [True, False])
-def test_a_job_of_the_last_owner_but_one_does_not_move(killed: bool) -> None:
-    """It runs where its hall's new owner does not look, and the rest of the hall is full."""
+def test_a_job_of_the_owner_before_the_previous_one_does_not_move(killed: bool) -> None:
+    """The job runs on an executor that the new owner can't reach; the other executors are full."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"), lists_machines=False)
@@ -80,7 +76,7 @@
         spec = world.new_job(step(1, estimate_s=LONG_S))
         world.specs[spec.job_id] = spec
         world.store.put(JOBS, *encode(Submitted(spec, 0, time.time(), "life-x")))
-        await asyncio.sleep(UNWRITTEN_S)
+        await asyncio.sleep(UNRECORDED_S)
         (busy,) = (
             address
             for address, executor in world.executors.items()
@@ -89,17 +85,17 @@
         others = [a for a, e in world.executors.items() if e.record.hall == "east" and a != busy]
         world.cuts = {(second, busy)} | {(first, address) for address in others}
         world.store.silent.add(first)
-        await _follow(world, second, killed)
+        await _take_over(world, second, killed)
         return world
 
     problems = run_virtual(play()).problems
-    # After its lease has lapsed there, nothing tells of the run: the job may begin elsewhere.
+    # After its lease has expired, no report shows the run: the job may start elsewhere.
     assert [line for line in problems if "ELSEWHERE" not in line] == []
 
 
-async def _follow(world: HallWorld, second: str, killed: bool) -> None:
-    """Have a host own the first hall's shard, or two lives of it, for long enough."""
-    async with asyncio.timeout(CLAIMED_WITHIN_S):
+async def _take_over(world: HallWorld, second: str, killed: bool) -> None:
+    """Wait until a host owns the shard and all leases expire; restart it first if ``killed``."""
+    async with asyncio.timeout(MAX_CLAIM_DELAY_S):
         while not world.hosts[second].host.candidates[0].tenure:
             await asyncio.sleep(0.05)
     if killed:
--- a/tests/host/test_held_ends_on_record.py
+++ b/tests/host/test_withheld_ends_on_record.py
@@ -1,4 +1,8 @@
-"""When a next owner can know of an end that is held, and when its job is shown as over."""
+"""A withheld end is on record before the final record of its job.
+
+Guards against an owner that is lost between the two writes: the next owner would acknowledge the
+end, and a start that is still unanswered would run the task twice.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 from tests.standins.memory_store import MemoryStore
 from tests.virtual_time import run_virtual
 
-ENDED_S = 20.0
-"""Time by which a start without an answer was sent again, and its run has ended."""
+MAX_END_S = 20.0
+"""Time in which an unanswered start is sent again and its run ends."""
 
 
-class Watched(MemoryStore):
-    """A store that notes in which order held ends and final records are written."""
+class RecordingStore(MemoryStore):
+    """A store that keeps the order in which withheld ends and final records are written."""
 
     def __init__(self, seed: int = 0) -> None:
         super().__init__(seed)
@@ -41,9 +45,9 @@
         return super().apply(partition, records, at, producer)
 
 
-async def _one_start_without_an_answer() -> list[str]:
+async def _run_with_one_unanswered_start() -> list[str]:
     world = HallWorld(hosts_per_hall=1, executors_per_hall=1)
-    world.store = Watched()
+    world.store = RecordingStore()
     world.late_to_next_life = True
     world.late_most_s = 6.0
     await world.begin()
@@ -52,15 +56,15 @@
     assert await world.submit("east-host-0", spec) == 200
     await asyncio.sleep(0.3)
     world.late_share = 0.0
-    await asyncio.sleep(ENDED_S)
+    await asyncio.sleep(MAX_END_S)
     assert await world.state("east-host-0", spec.job_id) == "succeeded"
-    assert isinstance(world.store, Watched)
+    assert isinstance(world.store, RecordingStore)
     return world.store.written
 
 
-def test_a_job_is_over_only_once_its_held_end_is_on_record() -> None:
-    """Guards against an end that a next owner has forgotten, and a late start that follows: TWICE.
+def test_a_job_is_final_only_once_its_withheld_end_is_on_record() -> None:
+    """Guards against an end that the next owner acknowledges before a late start arrives: TWICE.
 
-    The owner was lost in the moment between the job's final record and that of what is held.
+    The owner was lost between writing the final record and the record of the withheld end.
     """
-    assert run_virtual(_one_start_without_an_answer())[:2] == ["held", "over"]
+    assert run_virtual(_run_with_one_unanswered_start())[:2] == ["held", "over"]
