--- a/tests/host/test_orders_on_their_way.py
+++ b/tests/host/test_delayed_orders.py
@@ -1,9 +1,9 @@
-"""Orders on their way that come to an executor's next life, beside one other trouble each.
+"""Delayed orders that arrive at an executor's next incarnation run nothing twice.
 
-Callers saw tasks that ran twice. A third of the starts got no answer for a second and were carried
-out seconds later; two executors fell and were back under their ids; and with them the owner was
-killed, suspended or stopped as planned, or another executor drained. Cause and evidence: see
-docs/incidents/orders-that-outlast-a-life.md.
+Callers saw tasks that ran twice. A third of the starts got no answer for a second and were
+carried out seconds later; two executors crashed and were back under their ids; and at the same
+time the owner was killed, suspended or stopped as planned, or another executor drained. Cause and
+evidence: see docs/incidents/orders-that-outlast-a-life.md.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from tests.virtual_time import run_virtual
 
 LATE_SHARE = 0.3
-LATE_MOST_S = 6.0
+MAX_ORDER_DELAY_S = 6.0
 
 LATE_FOR_S = 1.5
-"""Time before and after the first fall in which starts are late."""
+"""Time before and after the first crash during which starts are late."""
 
 SUSPENDED_S = 3.0
 
@@ -29,7 +29,7 @@
 
 
 def _nothing(_world: HallWorld) -> None:
-    """Have nothing else happen."""
+    """Cause no further fault."""
 
 
 def _kill_owner(world: HallWorld) -> None:
@@ -53,7 +53,7 @@
     asyncio.get_running_loop().call_later(DRAINS_S, world.crash_executor, "east-2:1")
 
 
-BESIDE: dict[str, Callable[[HallWorld], None]] = {
+FAULTS: dict[str, Callable[[HallWorld], None]] = {
     "nothing": _nothing,
     "owner killed": _kill_owner,
     "owner suspended": _suspend_owner,
@@ -62,25 +62,29 @@
 
 
 async def _played(seed: int, beside: Callable[[HallWorld], None]) -> RestartingDay:
-    begun: list[HallWorld] = []
+    crashed: list[HallWorld] = []
 
-    def fall(world: HallWorld) -> None:
-        begun.append(world)
-        if len(begun) == 1:
+    def on_crash(world: HallWorld) -> None:
+        crashed.append(world)
+        if len(crashed) == 1:
             asyncio.get_running_loop().call_later(LATE_FOR_S, setattr, world, "late_share", 0.0)
             beside(world)
 
-    restarts = Restarts(down_s=0.5, times=3, every_s=1.7, beside=fall, at_s=FALL_AT_S)
+    restarts = Restarts(down_s=0.5, times=3, every_s=1.7, beside=on_crash, at_s=FALL_AT_S)
     return await play(
-        restarts, seed=seed, late_share=LATE_SHARE, late_most_s=LATE_MOST_S, late_to_next_life=True
+        restarts,
+        seed=seed,
+        late_share=LATE_SHARE,
+        late_most_s=MAX_ORDER_DELAY_S,
+        late_to_next_life=True,
     )
 
 
-@pytest.mark.parametrize("beside", BESIDE)
+@pytest.mark.parametrize("beside", FAULTS)
 @pytest.mark.parametrize("seed", range(6))
-def test_an_order_that_outlasts_a_life_runs_nothing_twice(seed: int, beside: str) -> None:
-    """Guards against a run elsewhere, or an end forgotten, while its first order may still come."""
-    day = run_virtual(_played(seed, BESIDE[beside]), limit_s=400.0)
+def test_an_order_that_outlasts_an_incarnation_runs_nothing_twice(seed: int, beside: str) -> None:
+    """Guards against a run elsewhere, or an acknowledged end, while the first start may arrive."""
+    day = run_virtual(_played(seed, FAULTS[beside]), limit_s=400.0)
     assert day.world.problems == []
     assert set(day.states) == {"succeeded"}
     assert set(day.standing) <= day.running
--- a/tests/host/test_late_loans.py
+++ b/tests/host/test_late_delegation_records.py
@@ -1,4 +1,10 @@
-"""A record of loans that is done late does not hide loans that were told since."""
+"""A delegation record that the store applies late does not hide newer delegations.
+
+The store may apply a write of a former owner seconds after the next owner has written. The
+older record, which names fewer delegated tasks, is then the newest of its key. A next owner
+of the delegate hall that reads only this record drops the other tasks, while their home hall
+assumes that the delegate hall still runs them.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +18,12 @@
 from tests.job_builders import step
 from tests.virtual_time import run_virtual
 
-BORROWER = 1
+DELEGATE = 1
 TASKS = 5
 
 
-def test_a_record_of_loans_that_is_done_late_loses_no_task() -> None:
-    """The store may do what a former owner asked for seconds after the next one wrote.
-
-    The older record, which names fewer loans, is then the newest of its key. The next
-    owner of the borrowing hall takes the others for none of its tasks, and the hall that
-    lent them takes them for looked after.
-    """
+def test_a_delegation_record_applied_late_loses_no_task() -> None:
+    """All tasks run after the delegate hall's owner and the executor of a hidden task crash."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"))
@@ -30,28 +31,28 @@
         spec = world.new_job(step(TASKS, standing=True, max_per_executor=1))
         await world.submit("east-host-0", spec)
         await asyncio.sleep(6.0)
-        assert _at_work(world, spec.job_id) == TASKS
+        assert _count_running(world, spec.job_id) == TASKS
         entry = world.hosts["east-host-0"].host.job_registry.catalog.get(spec.job_id)
         assert entry
-        first, *others = entry.delegated[BORROWER]
-        world.store.put(JOBS, *encode(Delegated(spec.job_id, BORROWER, (first,))))
-        owner = world.owner(BORROWER)
+        first, *others = entry.delegated[DELEGATE]
+        world.store.put(JOBS, *encode(Delegated(spec.job_id, DELEGATE, (first,))))
+        owner = world.owner(DELEGATE)
         assert owner
         world.kill_host(owner)
         await asyncio.sleep(5.0)
         hidden = TaskName(spec.job_id, 0, others[0].step, others[0].index)
-        world.crash_executor(_place_of(world, hidden))
+        world.crash_executor(_address_of(world, hidden))
         await asyncio.sleep(20.0)
-        assert _at_work(world, spec.job_id) == TASKS
+        assert _count_running(world, spec.job_id) == TASKS
         return world
 
     assert run_virtual(play()).problems == []
 
 
-def _at_work(world: HallWorld, job_id: str) -> int:
+def _count_running(world: HallWorld, job_id: str) -> int:
     alive = [e for e in world.executors.values() if e.alive]
     return sum(task.job_id == job_id for e in alive for task in e.running)
 
 
-def _place_of(world: HallWorld, task: TaskName) -> str:
+def _address_of(world: HallWorld, task: TaskName) -> str:
     return next(a for a, e in world.executors.items() if e.alive and task in e.running)
--- a/tests/host/test_late_renewal_before_a_claim.py
+++ b/tests/host/test_late_renewal_before_a_claim.py
@@ -1,15 +1,16 @@
-"""An owner is reckoned with also where the first record read is a late renewal before a claim.
+"""A restarted host waits for an owner that none of the records it reads names.
 
-What was suspected: a task runs on two executors at once. Its owner is cut from the store and goes
-on giving leases; a host that has just started anew counts no time at all for it.
+The failure guarded against: a task runs on two executors at once. Its owner is cut off from the
+store and goes on granting leases, while a host that has just restarted does not wait for that
+owner at all.
 
-How it comes about: a host that starts reads the last few records of ownership. The first of them
-is a renewal of a tenure that ended long ago, done late; its number says that this tenure had ruled
-for minutes, so that all others seem to have ended before. The next record is a claim by a later
-life of the same host, which counts as no change of owner. The owner that ruled between the two is
-in none of the records read. That life ended soon after its claim, and the host starts once more.
+A host that starts reads the last few ownership records. The first of them is a renewal of a
+tenure that ended long ago, applied late; its number says that this tenure had lasted for
+minutes, so that all earlier owners seem to have stopped. The next record is a claim by a later
+incarnation of the same host, which counts as no change of owner. The owner between the two is
+in none of the records read. The claiming incarnation ended soon after, and the host restarts.
 
-What proves it: the play; without the late renewal the host finds the owner between, and waits.
+Without the late renewal, the host finds the owner in between and waits.
 """
 
 from __future__ import annotations
@@ -27,33 +28,34 @@
 from tests.virtual_time import run_virtual
 
 WAIT_S = 5.0
-"""Longest time until a successor has claimed the shard, or has renewed a few times."""
+"""Longest time until the next owner has claimed the shard, or has renewed a few times."""
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_an_owner_between_two_lives_of_a_host_is_reckoned_with(late: bool) -> None:
+def test_an_owner_between_two_incarnations_of_a_host_is_waited_for(late: bool) -> None:
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
         await world.begin()
         first = world.owner()
         assert first
-        token, life = 1, world.hosts[first].host.candidates[0].view.owner
-        assert life and life.token == token
+        token, earlier_owner = 1, world.hosts[first].host.candidates[0].view.owner
+        assert earlier_owner and earlier_owner.token == token
         second = next(name for name, _ in world.host_names() if name != first)
         world.kill_host(first)
         await until(lambda: world.owner() == second, limit_s=WAIT_S)
         assert await world.submit(second, world.new_job(step(1, estimate_s=LONG_S))) == 200
         await asyncio.sleep(BEGUN_S)
-        # One side of a cut has the owner and its task's executor, the other one all else.
+        # Partition the network: the owner and its task's executor on one side, the rest on
+        # the other.
         for address, executor in world.executors.items():
             world.cuts.add((first if executor.running else second, address))
         world.store.silent.add(second)
         if late:
-            record = OwnerRecord(OwnerAct.RENEW, first, life.incarnation, token, 99)
+            record = OwnerRecord(OwnerAct.RENEW, first, earlier_owner.incarnation, token, 99)
             world.store.put(OWNERS, b"", record.encode())
         end = world.store.log(OWNERS).end
         world.start_host(first)
-        # The claim of its second life, and as many renewals as leave no older record to read.
+        # The claim by its second incarnation, and enough renewals that no older record is read.
         await until(
             lambda: world.store.log(OWNERS).end == end + MAX_PAST_RECORDS - 1, limit_s=WAIT_S
         )
@@ -65,12 +67,12 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_claim_by_a_later_life_tells_nothing_of_who_ruled_between() -> None:
-    view = OwnerView("me", "third life", home=True)
+def test_a_claim_by_a_later_incarnation_proves_nothing_about_owners_between() -> None:
+    view = OwnerView("me", "third incarnation", home=True)
     records = [
-        OwnerRecord(OwnerAct.RENEW, "me", "first life", 1, 99),
-        OwnerRecord(OwnerAct.CLAIM, "me", "second life"),
-        OwnerRecord(OwnerAct.RENEW, "me", "second life", 120, 1),
+        OwnerRecord(OwnerAct.RENEW, "me", "first incarnation", 1, 99),
+        OwnerRecord(OwnerAct.CLAIM, "me", "second incarnation"),
+        OwnerRecord(OwnerAct.RENEW, "me", "second incarnation", 120, 1),
     ]
     for offset, record in enumerate(records, 118):
         view.apply(Entry(offset, record.encode()), 10.0)
--- a/tests/host/test_leases_of_a_newer_owner.py
+++ b/tests/host/test_leases_of_a_newer_owner.py
@@ -1,15 +1,16 @@
-"""An owner that acts unproved takes no executor's leases for over that a newer owner may renew.
+"""An owner without confirmed ownership counts no lease as expired that a newer owner may renew.
 
-What was seen: a task ran on two executors at once. Its owner had lost touch with the executor
-that ran it, counted the lease that it had granted there as over and started the task elsewhere.
+The failure: a task ran on two executors at once. Its owner had lost contact with the executor
+that ran it, counted the lease that it had granted there as expired and started the task
+elsewhere.
 
-How it comes about: a hall falls in two. One part has the owner and an idle executor; the other
-has the store, another host and the executor that runs the task. The other host claims the shard
+The network of a hall is partitioned. One side has the owner and an idle executor; the other has
+the store, another host and the executor that runs the task. The other host claims the shard
 after two seconds of silence, finds the run and renews its lease. The first owner goes on for up
-to ten seconds without proof, and counts by the leases that it granted itself: the last of them
-ends before those ten seconds are over. The idle executor has not seen the newer token.
+to ten seconds without confirmation and counts by the leases that it granted itself: the last of
+them expires before those ten seconds are over. The idle executor has not seen the newer token.
 
-What proves it: the plays; nothing happens in them but the one cut.
+Nothing happens in these scenarios but the one partition.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from tests.virtual_time import run_virtual
 
 CUT_S = 15.0
-"""Time for which the hall is cut: longer than an owner acts unproved."""
+"""How long the hall is partitioned: longer than an owner acts without confirmed ownership."""
 
 
 @pytest.mark.parametrize("offset_s", [0.0, 0.4, 0.8, 1.2, 1.6])
--- a/tests/host/test_metrics.py
+++ b/tests/host/test_metrics.py
@@ -1,4 +1,4 @@
-"""A host's metrics on the page that scrapers read."""
+"""Tests of the metrics page of a host, as scrapers read it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return {name: float(value) for name, _, value in rows if name}
 
 
-def test_page_has_all_counts_and_times_at_each_reading() -> None:
+def test_page_has_all_counts_and_durations_at_each_scrape() -> None:
     metrics = HostMetrics()
     for number in range(1, 4):
         metrics.count("starts", outcome="started")
@@ -33,7 +33,7 @@
     assert _values(metrics) == values
 
 
-def test_unknown_names_are_refused_at_once() -> None:
+def test_unknown_names_raise_at_once() -> None:
     metrics = HostMetrics()
     with pytest.raises(KeyError):
         metrics.count("nothing")
--- a/tests/host/test_one_hall.py
+++ b/tests/host/test_one_hall.py
@@ -1,14 +1,14 @@
 """Every host, whenever it started, names the same hall for each job.
 
-What was seen: a drawn store that loses track of producers, and two hosts that accept one
-job for two halls. Hosts that had read all records named the one hall, and hosts that
-started later, from the newest record of each key, named the other.
+The failure: in a randomized run, the store forgot its producers and two hosts accepted one job
+for two halls. Hosts that had read all records named one hall; hosts that started later, from the
+newest record of each key, named the other.
 
-How it came about: a group without an answer was done, and was written again under a new
-epoch since the store no longer knew the producer. The second writing of a submission had
-the key of the first and hid it; between the two stood the other host's submission.
+A group of records had been applied, but its answer was lost. It was written again under a new
+epoch because the store no longer knew the producer. The second write of a submission had the
+key of the first and hid it; between the two stood the other host's submission.
 
-What proved it: the plays below, of which the first draws nothing.
+The first test shows this without random choices.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 HALLS = 3
 
-PLAYS = 30
-"""Drawn plays; three of them showed the fault."""
+RUNS = 30
+"""Number of randomized runs; three of them showed the fault."""
 
-PLAY_S = 20.0
-"""Length of a drawn play: several outages long."""
+RUN_S = 20.0
+"""Duration of a randomized run: long enough for several outages."""
 
 
-def test_a_submission_that_is_written_again_does_not_hide_the_first() -> None:
+def test_a_submission_that_is_written_again_hides_no_earlier_one() -> None:
     async def play() -> list[str]:
         readers = _Readers(MemoryStore())
         first, second = readers.start("first"), readers.start("second")
@@ -59,37 +59,37 @@
 
 
 def test_readers_of_a_store_that_forgets_name_the_same_halls() -> None:
-    """Hosts accept jobs twice, start anew and are cut off; producers are forgotten."""
+    """Hosts accept jobs twice, restart and are cut off; the store forgets producers."""
 
     async def play(seed: int) -> list[str]:
-        return await _drawn(_Readers(MemoryStore(seed)), Random(seed))
+        return await _run_random(_Readers(MemoryStore(seed)), Random(seed))
 
-    assert [(seed, found) for seed in range(PLAYS) if (found := run_virtual(play(seed)))] == []
+    assert [(seed, found) for seed in range(RUNS) if (found := run_virtual(play(seed)))] == []
 
 
-async def _drawn(readers: _Readers, random: Random) -> list[str]:
+async def _run_random(readers: _Readers, random: Random) -> list[str]:
     store, found = readers.store, []
     names = [f"host-{number}" for number in range(4)]
     for name in names:
         readers.start(name)
     jobs: list[JobSpec] = []
-    until = asyncio.get_running_loop().time() + PLAY_S
+    until = asyncio.get_running_loop().time() + RUN_S
     while asyncio.get_running_loop().time() < until:
         await asyncio.sleep(random.expovariate(8.0))
         name = random.choice(names)
         if random.random() < 0.5 or not jobs:
             jobs.append(readers.spec())
         readers.hosts[name].submit(random.choice(jobs[-3:]), random.randrange(HALLS))
-        trouble = random.random()
-        if trouble < 0.05:
+        fault = random.random()
+        if fault < 0.05:
             readers.start(name)
-        elif trouble < 0.1:
+        elif fault < 0.1:
             store.forget_producers(JOBS)
-        elif trouble < 0.13:
+        elif fault < 0.13:
             store.forget(JOBS)
-        elif trouble < 0.18:
+        elif fault < 0.18:
             store.silent ^= {name}
-        elif trouble < 0.25:
+        elif fault < 0.25:
             store.losing, store.late = random.choice((0.0, 0.6)), random.random() < 0.5
         found += readers.compare()
     store.calm()
@@ -98,11 +98,11 @@
 
 
 class _Reader:
-    """A host of which only the job book is played, and what its front does with it."""
+    """A host reduced to its job registry and to what its front end does with the registry."""
 
-    def __init__(self, store: MemoryStore, name: str, life: str) -> None:
-        self.job_registry = JobRegistry(StoreLink(store, name), life, Lines())  # type: ignore[arg-type]
-        self._life = life
+    def __init__(self, store: MemoryStore, name: str, incarnation: str) -> None:
+        self.job_registry = JobRegistry(StoreLink(store, name), incarnation, Lines())  # type: ignore[arg-type]
+        self._incarnation = incarnation
         self._submitting: set[str] = set()
         loops = (self.job_registry.follower.run(), self.job_registry.writer.run())
         self._work = [asyncio.create_task(loop) for loop in loops]
@@ -112,13 +112,13 @@
             task.cancel()
 
     def submit(self, spec: JobSpec, shard: int) -> asyncio.Future[int] | None:
-        """Keep a job as a front does: once, and only if it is not known."""
+        """Record a job as a front end does: once, and only if the job is unknown."""
         job_id = spec.job_id
         known = job_id in self._submitting or self.job_registry.knows(job_id)
         if known or not self.job_registry.follower.ready:
             return None
         self._submitting.add(job_id)
-        write = self.job_registry.write([Submitted(spec, shard, 0.0, self._life)])
+        write = self.job_registry.write([Submitted(spec, shard, 0.0, self._incarnation)])
         write.add_done_callback(lambda done: self._on_written(job_id, done))
         return write
 
@@ -135,18 +135,18 @@
         self.store = store
         self._world = HallWorld()
         self._judge = OneHall(store)
-        self._lives = 0
+        self._incarnation_count = 0
         self.hosts: dict[str, _Reader] = {}
 
     def spec(self) -> JobSpec:
         return self._world.new_job(step(1))
 
     def start(self, name: str) -> _Reader:
-        """Start a host, in the place of its earlier life if it has one."""
+        """Start a host, in place of its previous incarnation if there is one."""
         if name in self.hosts:
             self.hosts[name].kill()
-        self._lives += 1
-        self.hosts[name] = _Reader(self.store, name, f"life-{self._lives}")
+        self._incarnation_count += 1
+        self.hosts[name] = _Reader(self.store, name, f"life-{self._incarnation_count}")
         return self.hosts[name]
 
     def compare(self) -> list[str]:
--- a/tests/host/test_overlapping_troubles.py
+++ b/tests/host/test_overlapping_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that overlap, with callers that ask and send again, break no promise."""
+"""Overlapping faults, with callers that poll and send again, break no promise."""
 
 from __future__ import annotations
 
--- a/tests/host/test_owners_forgotten.py
+++ b/tests/host/test_owners_forgotten.py
@@ -1,14 +1,15 @@
-"""A host that missed records of ownership reckons with an owner that it has not read of.
+"""A host that missed ownership records waits for an owner that it has not read about.
 
-What was suspected: a task runs on two executors at once. Its owner is cut from the store and goes
-on giving leases; the next owner counts no time at all for it.
+The failure guarded against: a task runs on two executors at once. Its owner is cut off from the
+store and goes on granting leases; the next owner does not wait for it at all.
 
-How it comes about: a host that starts anew finds its earlier life as the owner, and the store turns
-it away before it has claimed. Another host claims the shard and rules for a while. Then the store
-forgets its history, and all that it held of that owner. The first host goes on behind it with what
-it knew: the owner is an earlier life of its own, which can't act any more. It claims at once.
+A restarted host finds its previous incarnation as the owner, and the store refuses it before it
+has claimed. Another host claims the shard and owns it for a while. Then the store forgets its
+history, and with it all records of that owner. The first host resumes behind the gap with what
+it knew: the owner is an earlier incarnation of its own, which can no longer act. It claims at
+once.
 
-What proves it: the play; with the history kept the same host finds the other owner and waits.
+With the history kept, the same host finds the other owner and waits.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 from tests.virtual_time import run_virtual
 
 LOOK_S = 0.001
-"""Time between looks at what a host has read."""
+"""Interval between checks of what a host has read."""
 
 WAIT_S = 5.0
 """Longest time until a host has read of an owner, or has claimed the shard."""
 
 
 @pytest.mark.parametrize("forgets", [True, False])
-def test_an_owner_that_the_store_has_forgotten_is_reckoned_with(forgets: bool) -> None:
+def test_an_owner_that_the_store_has_forgotten_is_waited_for(forgets: bool) -> None:
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
         await world.begin()
@@ -47,7 +48,8 @@
             lambda: world.hosts[second].host.candidates[0].tenure is not None, limit_s=WAIT_S
         )
         await asyncio.sleep(BEGUN_S)
-        # One side of a cut has the owner and its task's executor, the other one all else.
+        # Partition the network: the owner and its task's executor on one side, the rest on
+        # the other.
         for address, executor in world.executors.items():
             world.cuts.add((first if executor.running else second, address))
         world.store.silent.add(second)
--- a/tests/host/test_owners_in_a_row.py
+++ b/tests/host/test_owners_in_a_row.py
@@ -1,14 +1,14 @@
-"""A new owner reckons with each former owner that may still act, not with the last one only.
+"""A new owner waits for each former owner that may still act, not only for the last one.
 
-What was suspected: a task ran in two places at once. A new owner starts work again at executors
-that it does not reach once all leases that former owners granted have run out.
+The failure guarded against: a task runs in two places at once. A new owner restarts work of
+executors that it does not reach once all leases that former owners granted have expired.
 
-How it can come about: the first owner is cut off from the store, still reaches its executors and
-renews their leases for as long as an owner may without proof. Its successor does not reach them,
-is killed soon and starts again. As its own earlier life surely gives no orders any more, it
-counted no time at all for former owners, and the first one was forgotten.
+The first owner is cut off from the store, still reaches its executors and renews their leases
+for as long as an owner may without confirmed ownership. The next owner does not reach them, is
+killed soon and restarts. As its own earlier incarnation can give no more orders, it did not wait
+for former owners at all, and the first one was forgotten.
 
-What proved it: the first play, which ran a task beside its first run.
+The first test ran a task beside its first run before the fix.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from tests.job_builders import step
 from tests.virtual_time import run_virtual
 
-TAKEN_OVER_S = 3.0
-"""Time after which a silent owner has a successor in its hall."""
+TAKEOVER_S = 3.0
+"""Time after which another host of the hall has taken over from a silent owner."""
 
 
-def test_an_owner_cut_off_from_the_store_counts_after_its_successor_starts_again() -> None:
+def test_an_owner_cut_off_from_the_store_is_waited_for_after_the_next_owner_restarts() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
@@ -33,12 +33,13 @@
         await world.submit(first, spec)
         await asyncio.sleep(1.0)
         world.cut(second, "east")
-        # The one without work is on the other side: there is room, and nobody tells the first.
+        # The idle executor is on the other side: it has capacity, and the first owner does not
+        # learn of the new one from it.
         idle = next(a for a, e in world.executors.items() if not e.running)
         world.cuts.discard((second, idle))
         world.cuts.add((first, idle))
         world.store.silent.add(first)
-        await asyncio.sleep(TAKEN_OVER_S)
+        await asyncio.sleep(TAKEOVER_S)
         assert world.hosts[second].host.candidates[0].tenure
         world.kill_host(second)
         await asyncio.sleep(0.3)
@@ -49,8 +50,8 @@
     assert run_virtual(play()).problems == []
 
 
-def test_work_goes_on_soon_after_an_owner_that_ruled_for_long_starts_again() -> None:
-    """Owners before it gave their last orders long ago: only their leases' length counts."""
+def test_work_resumes_soon_after_a_long_lived_owner_restarts() -> None:
+    """Owners before it gave their last orders long ago: only the duration of leases counts."""
 
     async def play() -> HallWorld:
         world = HallWorld(hosts_per_hall=1)
--- a/tests/host/test_ownership_reads.py
+++ b/tests/host/test_ownership_reads.py
@@ -1,10 +1,10 @@
-"""What a host reads of the halls' ownership when it starts, and of their executors.
+"""Limits what a host reads of the halls' ownership and of their executors when it starts.
 
-All hosts of a deployment may start anew at the same moment. With 97 hosts and five halls,
-each of which renews every 0.6 s and tells kilobytes of its state in every second renewal,
-a minute of renewals was 5 MB for each host: 485 MB from a store that sends 80 MB/s to all of
-them together, and 4 s of a host's link of 10 Mbit/s. 540 executors that write their entry every
-1.5 s were 63 KB/s for each host, though only the owners of the five halls give orders.
+All hosts of a deployment may restart at the same moment. With 97 hosts and five halls, each of
+which renews every 0.6 s and publishes kilobytes of its state in every second renewal, a minute
+of renewals was 5 MB for each host: 485 MB from a store that sends 80 MB/s to all of them
+together, and 4 s of a host's link of 10 Mbit/s. 540 executors that write their entry every 1.5 s
+were 63 KB/s for each host, though only the owners of the five halls give orders.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from tests.virtual_time import run_virtual
 
 RENEWING_S = 60.0
-"""Time for which owners renew before hosts start anew: a hundred renewals a hall."""
+"""How long owners renew before hosts restart: a hundred renewals per hall."""
 
 STARTING_S = 1.5
-"""Time within which a host that starts knows who owns what, with its watch behind it."""
+"""Time within which a starting host knows all owners and has watched them for the first time."""
 
 RENEWALS_WHILE_STARTING = 4
-"""Renewals of a hall's owner that a host reads in that time."""
+"""Number of renewals of a hall's owner that a host reads in that time."""
 
 
 class CountingLink(StoreLink):
@@ -69,8 +69,8 @@
         counted.clear()
         started = world.start_host(name)
         await asyncio.sleep(STARTING_S)
-        most = MAX_PAST_RECORDS + RENEWALS_WHILE_STARTING
-        assert counted[name, "owners"] <= len(world.halls) * most
+        max_records = MAX_PAST_RECORDS + RENEWALS_WHILE_STARTING
+        assert counted[name, "owners"] <= len(world.halls) * max_records
         for candidate in started.host.candidates:
             assert candidate.view.owner
             assert candidate.view.owner.host in owners
@@ -80,7 +80,7 @@
     assert run_virtual(play()).problems == []
 
 
-def test_hosts_that_all_start_anew_have_owners_as_soon_as_the_first_time() -> None:
+def test_hosts_that_all_restart_have_owners_as_soon_as_at_first() -> None:
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"), hosts_per_hall=3)
         await world.begin()
@@ -117,7 +117,7 @@
 
 
 def test_a_new_owner_knows_the_executors_when_it_begins() -> None:
-    """It read none of their entries before it claimed."""
+    """A host reads no entries of executors before it claims."""
 
     async def play() -> HallWorld:
         world = HallWorld(executors_per_hall=30)
@@ -127,17 +127,17 @@
         assert owner
         world.kill_host(owner)
         await asyncio.sleep(4.0)
-        successor = world.owner()
-        assert successor not in (None, owner)
+        next_owner = world.owner()
+        assert next_owner not in (None, owner)
         spec = world.new_job(step(29, estimate_s=0.5, cpu=8_000))
-        assert await world.submit(str(successor), spec) == 200
-        await world.wait_for(str(successor), spec.job_id, "succeeded", limit_s=2.0)
+        assert await world.submit(str(next_owner), spec) == 200
+        await world.wait_for(str(next_owner), spec.job_id, "succeeded", limit_s=2.0)
         return world
 
     assert run_virtual(play()).problems == []
 
 
-def test_a_host_that_lost_its_shard_follows_no_executors_any_more(
+def test_a_host_that_lost_its_shard_stops_following_executors(
     counted: Counter[tuple[str, str]],
 ) -> None:
     async def play() -> HallWorld:
@@ -161,10 +161,10 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_host_that_owns_again_reads_the_newest_entries_not_what_came_meanwhile(
+def test_a_host_that_owns_again_reads_only_the_newest_entries(
     counted: Counter[tuple[str, str]],
 ) -> None:
-    """Also where a read that was asked for ends after it has lost its shard."""
+    """This also holds where a pending read ends after the host has lost its shard."""
 
     async def play() -> HallWorld:
         world = HallWorld(hosts_per_hall=1)
--- a/tests/host/test_moves_without_end.py
+++ b/tests/host/test_repeated_moves.py
@@ -1,14 +1,12 @@
-"""A run that takes longer than its like is moved twice at most, and by what its like really took.
+"""A straggler is moved twice at most, and judged by the measured durations of similar tasks.
 
-What was seen, in a drawn day with owners lost: a job that never ended. Its last task was stopped
-1.1 s after each begin, "runs far longer than its like", and started again on the hall's other
-executor, 80 times in the minute and a half that was left, though it took 2 s as its like did.
+The failure, in a random day with owners lost: a job that never ended. Its last task was stopped
+1.1 s after each start, "runs far longer than its like", and started again on the hall's other
+executor, 80 times in the remaining minute and a half, though it took 2 s as similar tasks did.
 
-How it came about: the bound on such moves was the number of executors that the task avoids, and
-a task that avoids all of them is let use them again, which set the bound back. And its like
-had seemed short: an owner that takes a run over counted its length from then on.
-
-What proved it: the log of that day; the plays below, red before.
+The limit on such moves was the number of executors that the task avoids. A task that avoids all
+executors may use them again, which reset the limit. In addition, similar tasks seemed short: an
+owner that recovers a run measured its duration from the takeover on.
 """
 
 from __future__ import annotations
@@ -23,8 +21,8 @@
 from tests.shard.builders import JOB, core_with, plan, report, started
 from tests.virtual_time import run_virtual
 
-MOST_MOVES = 2
-"""Times that a task may be moved since it takes long: each costs its work so far."""
+MAX_MOVES = 2
+"""How often a task may be moved because it takes long: each move loses its work so far."""
 
 
 def test_a_straggler_is_moved_twice_at_most_in_a_hall_of_two() -> None:
@@ -45,11 +43,11 @@
             if attempt.stop_sent_at > 0:
                 core.close_attempt(attempt, now)
         now += 0.1
-    assert len(moved) == MOST_MOVES
+    assert len(moved) == MAX_MOVES
 
 
-def test_the_length_of_a_run_that_was_taken_over_is_not_known() -> None:
-    """Its executor tells of it when a new owner asks, not since when it runs."""
+def test_the_duration_of_a_recovered_run_is_unknown() -> None:
+    """The executor reports the run to a new owner, but not when the run started."""
     core = core_with(step(1), executors=1)
     name = TaskName(JOB, 0, 0, 0)
     row = RunningTask(name, 1, "", 50, None)
@@ -61,7 +59,7 @@
     assert attempt.task.step.durations == []
 
 
-def test_runs_that_were_taken_over_make_no_straggler_of_the_next() -> None:
+def test_recovered_runs_make_no_straggler_of_the_next() -> None:
     async def play() -> HallWorld:
         world = HallWorld(executors_per_hall=2, hosts_per_hall=3)
         await world.begin()
