--- a/tests/host/test_silent_callers.py
+++ b/tests/host/test_silent_callers.py
@@ -1,4 +1,4 @@
-"""Callers whose connections go silent hold nothing for good."""
+"""A caller whose connection goes silent does not hold a resource forever."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
     async def read(self) -> bytes:
         await asyncio.Event().wait()
-        raise AssertionError("nothing sets it")
+        raise AssertionError("the event is never set")
 
 
 def _half_request(job_id: str) -> web.BaseRequest:
     return cast(Any, HalfRequest(f"{QUEUE.prefix}{job_id}"))
 
 
-def test_a_body_that_never_arrives_whole_is_given_up_at_the_callers_deadline() -> None:
+def test_a_request_whose_body_stays_incomplete_ends_at_the_callers_deadline() -> None:
     async def play() -> tuple[web.StreamResponse, float]:
         world = HallWorld()
         await world.begin()
@@ -56,8 +56,8 @@
     assert not answer.keep_alive
 
 
-def test_a_half_sent_request_does_not_hold_up_a_drain() -> None:
-    """A body that is on its way is waited for a second, and not until the drain's limit."""
+def test_a_half_sent_request_does_not_delay_a_drain() -> None:
+    """A drain waits one second for a body that is being received, not until its own limit."""
 
     async def play() -> float:
         world = HallWorld()
@@ -75,20 +75,20 @@
     assert 0.8 < run_virtual(play()) < 1.1
 
 
-# Over sockets, with the bounds made short.
+# The tests below use sockets, with short limits.
 
-BOUND_S = 0.3
-"""Stands for each of the listener's bounds."""
+LIMIT_S = 0.3
+"""Replaces each time limit of the listener."""
 
 HEAD = b"GET / HTTP/1.1\r\nHost: host.example\r\n"
-WHOLE = HEAD + b"\r\n"
+WHOLE_REQUEST = HEAD + b"\r\n"
 
 
 @pytest_asyncio.fixture
 async def address(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[str]:
-    """A listener whose answers are larger than what a connection holds unread."""
+    """Return the address of a listener whose large answers exceed the buffers of a connection."""
     for name in ("MAX_REQUEST_HEAD_S", "MAX_UNREAD_S"):
-        monkeypatch.setattr(connections, name, BOUND_S)
+        monkeypatch.setattr(connections, name, LIMIT_S)
     monkeypatch.setattr(connections, "SWEEP_INTERVAL_S", 0.05)
     monkeypatch.setattr(connections, "MAX_IDLE_CONNECTIONS", 3)
 
@@ -111,7 +111,7 @@
 
 
 async def _ask(address: str) -> bytes:
-    reader, writer = await _connect(address, WHOLE)
+    reader, writer = await _connect(address, WHOLE_REQUEST)
     line = await asyncio.wait_for(reader.readline(), 5.0)
     writer.close()
     return line
@@ -129,14 +129,14 @@
 
 async def test_a_connection_with_half_a_request_is_closed(address: str) -> None:
     reader, writer = await _connect(address, HEAD)
-    assert await _closed_after(reader) >= 0.5 * BOUND_S
+    assert await _closed_after(reader) >= 0.5 * LIMIT_S
     writer.close()
     assert b"200" in await _ask(address)
 
 
 async def test_a_caller_that_stops_reading_is_cut_off(address: str) -> None:
     reader, writer = await _connect(address, HEAD.replace(b"/ ", b"/large ") + b"\r\n")
-    await asyncio.sleep(BOUND_S + 1.0)
+    await asyncio.sleep(LIMIT_S + 1.0)
     body = b""
     with contextlib.suppress(ConnectionError):
         while piece := await asyncio.wait_for(reader.read(1_000_000), 5.0):
@@ -153,14 +153,14 @@
     head = await reader.readuntil(b"\r\n\r\n")
     assert b"200" in head
     for _ in range(10):
-        # It takes longer than the bound in all, but takes something all the while.
+        # The caller takes longer than the limit in total, but keeps reading.
         await asyncio.wait_for(reader.readexactly(4_000_000 - 1), 5.0)
         await asyncio.sleep(0.15)
     assert len(await asyncio.wait_for(reader.readexactly(10), 5.0)) == 10
     writer.close()
 
 
-async def test_more_idle_connections_than_the_bound_cost_the_oldest(address: str) -> None:
+async def test_more_idle_connections_than_the_limit_close_the_oldest(address: str) -> None:
     idle = []
     for _ in range(5):
         idle.append(await _connect(address, b""))
@@ -175,19 +175,19 @@
         writer.close()
 
 
-async def test_an_idle_connection_is_kept_and_watched(address: str) -> None:
-    """Healthy ones stay open; the system finds those whose other end vanished."""
-    reader, writer = await _connect(address, WHOLE)
+async def test_an_idle_connection_stays_open(address: str) -> None:
+    """Healthy connections stay open; the system finds those whose other end vanished."""
+    reader, writer = await _connect(address, WHOLE_REQUEST)
     assert b"200" in await reader.readline()
-    await asyncio.sleep(4 * BOUND_S)
-    writer.write(WHOLE)
+    await asyncio.sleep(4 * LIMIT_S)
+    writer.write(WHOLE_REQUEST)
     async with asyncio.timeout(5.0):
         while b"HTTP/1.1 200" not in await reader.readline():
             pass
     writer.close()
 
 
-async def test_silent_connections_do_not_hold_up_the_listeners_end() -> None:
+async def test_silent_connections_do_not_delay_closing_the_listener() -> None:
     async def never(request: web.BaseRequest) -> web.Response:
         await request.read()
         return web.Response()
@@ -195,12 +195,12 @@
     listener = await Listener(never).open("127.0.0.1:0")
     address = f"127.0.0.1:{listener.addresses[0][1]}"
     half_body = HEAD.replace(b"GET", b"POST") + b"Content-Length: 9\r\n\r\nabc"
-    open_ones = [await _connect(address, sent) for sent in (b"", HEAD, half_body)]
+    open_connections = [await _connect(address, sent) for sent in (b"", HEAD, half_body)]
     await asyncio.sleep(0.1)
     began = time.monotonic()
     await asyncio.wait_for(listener.close(), 10.0)
     assert time.monotonic() - began < 3.0
-    for _, writer in open_ones:
+    for _, writer in open_connections:
         writer.close()
 
 
--- a/tests/host/test_slow_first_reads.py
+++ b/tests/host/test_slow_first_reads.py
@@ -1,4 +1,4 @@
-"""All hosts start anew at once and read at different speeds, while jobs run."""
+"""All hosts restart at once and read the store at different speeds, while jobs run."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tests.virtual_time import run_virtual
 
 SLOWEST_S = 3.0
-"""Longest time that an answer takes to come in whole."""
+"""Longest time until an answer has been received completely."""
 
 READ_ANSWERS = 4
-"""Answers that a first read takes at the most, one after the other, with some to spare."""
+"""Upper bound, with a margin, of the consecutive answers that a first read takes."""
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_all_jobs_end_once_whoever_reads_slowly(seed: int) -> None:
+def test_all_jobs_end_once_whichever_host_reads_slowly(seed: int) -> None:
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"), seed=seed, late_share=0.1)
         await world.begin()
@@ -36,8 +36,8 @@
             world.kill_host(name)
         for name in names:
             for partition in (JOBS, CONFIGURATION, EXECUTORS):
-                taken = world.random.uniform(0.0, SLOWEST_S)
-                world.store.reads_take[name, partition.topic] = taken
+                duration_s = world.random.uniform(0.0, SLOWEST_S)
+                world.store.reads_take[name, partition.topic] = duration_s
             world.start_host(name)
         await asyncio.sleep(READ_ANSWERS * SLOWEST_S)
         assert all(running.host.caught_up for running in world.hosts.values())
--- a/tests/host/test_standing_days.py
+++ b/tests/host/test_standing_days.py
@@ -1,4 +1,4 @@
-"""Troubles that overlap leave no standing task away for long beside room for it."""
+"""Overlapping faults do not keep a standing task from running for long where there is capacity."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 from tests.host.standing_day import StandingDay
 from tests.virtual_time import run_virtual
 
-# On two of these days tasks are lost by a hall that takes no loan of a job that it moved away.
+# Two of these seeds guard against tasks that are lost because a hall accepts no delegation of a
+# job that it moved away.
 
 
 @pytest.mark.parametrize("seed", [0, 1, 3, 9])
--- a/tests/host/test_standing_entries.py
+++ b/tests/host/test_standing_entries.py
@@ -1,12 +1,13 @@
-"""Entries that outlast their executors, and entries that go early, break no promise.
+"""Entries that outlast their executors, and entries that expire early, break no promise.
 
-What was seen: tasks ran on two executors at once, and tasks began again after their end.
+The failure: tasks ran on two executors at once, and tasks started again after their end.
 
-How it came about: an executor crashed, its next life took work, and the store went down for some
-seconds, during which the entry of the living one went and that of the crashed one stayed. Who took
-the hall over then read the old entry alone and took it for the living executor's successor.
+An executor crashed, its next incarnation accepted work, and the store was down for some seconds,
+during which the entry of the running incarnation expired and that of the crashed one stayed. A
+host that then took over the hall read the old entry only, and took the crashed incarnation for a
+later one than the running one.
 
-What proved it: the drawn days below; without that inference the same days break nothing.
+Without that inference, the same randomized days break nothing.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", [147, 278, 384])
-def test_entries_that_stand_or_go_break_no_promise(seed: int) -> None:
+def test_stale_and_missing_entries_break_no_promise(seed: int) -> None:
     day = StandingEntriesDay(seed)
     world = run_virtual(day.play(), limit_s=400.0)
     assert world.problems == [], day.told
--- a/tests/host/test_starts_on_record.py
+++ b/tests/host/test_starts_on_record.py
@@ -1,4 +1,4 @@
-"""Starts go out once they are on record, and without one after a while where the store is away."""
+"""An owner sends a start once its record is durable, or after a time limit without the store."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from tests.virtual_time import run_virtual
 
 SLOW_S = 0.4
-"""Time in which a slow store answers."""
+"""Latency of a slow store."""
 
 
 async def _on_record_at_start(answer_s: float, monkeypatch: pytest.MonkeyPatch) -> list[bool]:
-    """Return, for each start, whether its job was on record when its executor got it."""
+    """Return, for each start, whether its job was on record when its executor received it."""
     world = HallWorld(hosts_per_hall=1)
     await world.begin()
     monkeypatch.setattr(memory_store, "ANSWER_S", answer_s)
     recorded: list[bool] = []
-    judge = world.judge_start
+    judge_start = world.judge_start
 
-    def look(executor, order) -> None:  # type: ignore[no-untyped-def]
+    def record_and_judge(executor, order) -> None:  # type: ignore[no-untyped-def]
         log = world.store.log(Partition("progress", 0, keyed=True))
         keys = {entry.key for entry in log.entries if entry.key != ROSTER_KEY}
         recorded.append(f"{order.task.job_id}.0".encode() in keys)
-        judge(executor, order)
+        judge_start(executor, order)
 
-    monkeypatch.setattr(world, "judge_start", look)
+    monkeypatch.setattr(world, "judge_start", record_and_judge)
     for _ in range(6):
         spec = world.new_job(step(2, estimate_s=0.5))
         assert await world.submit("east-host-0", spec) == 200
@@ -44,14 +44,14 @@
 def test_a_start_goes_out_after_its_record(
     answer_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a start that no next owner knows of, while the store is slow."""
+    """Guards against a start that the next owner does not know of, while the store is slow."""
     recorded = run_virtual(_on_record_at_start(answer_s, monkeypatch))
     assert len(recorded) == 12
     assert all(recorded)
 
 
-def test_work_starts_while_the_store_is_away() -> None:
-    """Guards against halls that stand still for as long as the store does not answer."""
+def test_work_starts_while_the_store_is_down() -> None:
+    """Guards against halls that start nothing for as long as the store does not answer."""
 
     async def play() -> int:
         world = HallWorld(hosts_per_hall=1)
--- a/tests/host/test_stop_beside_bodies.py
+++ b/tests/host/test_stop_during_request_bodies.py
@@ -1,4 +1,4 @@
-"""A planned stop answers a request that is coming in when the host takes nothing new."""
+"""A planned stop answers a request that is being received when the host refuses new ones."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 HEAD = b"POST / HTTP/1.1\r\nHost: host.example\r\nContent-Length: 8\r\n\r\n"
 BODY = b"12345678"
 
-PROMPT_S = 1.0
-"""Far more than the rest of a request takes that is on its way."""
+ANSWER_LIMIT_S = 1.0
+"""Far longer than it takes to receive the rest of a request."""
 
 
 @pytest.mark.parametrize("there", [len(HEAD) // 2, len(HEAD), len(HEAD) + len(BODY) // 2])
-async def test_the_rest_of_a_request_is_read_while_nothing_new_is_taken(there: int) -> None:
-    """What came in behind that moment was read and thrown away: no answer was given for it."""
+async def test_the_rest_of_a_request_is_read_while_new_ones_are_refused(there: int) -> None:
+    """Guards against bytes that are read and discarded after that moment, with no answer sent."""
 
     async def answer(request: web.BaseRequest) -> web.Response:
         return web.Response(body=await request.read())
@@ -32,7 +32,7 @@
     await listener.refuse_new()
     writer.write((HEAD + BODY)[there:])
     try:
-        async with asyncio.timeout(PROMPT_S):
+        async with asyncio.timeout(ANSWER_LIMIT_S):
             assert (await reader.readuntil(BODY)).startswith(b"HTTP/1.1 200 ")
             assert await reader.read() == b""
     finally:
@@ -41,8 +41,8 @@
         await listener.close()
 
 
-async def test_a_busy_connection_takes_no_further_request() -> None:
-    """Connections were told to close only where one of them was idle."""
+async def test_a_busy_connection_accepts_no_further_request() -> None:
+    """Guards against connections that are told to close only if one of them is idle."""
     answered = asyncio.Event()
 
     async def answer(_request: web.BaseRequest) -> web.Response:
@@ -56,7 +56,7 @@
     await listener.refuse_new()
     answered.set()
     try:
-        async with asyncio.timeout(PROMPT_S):
+        async with asyncio.timeout(ANSWER_LIMIT_S):
             await reader.readuntil(BODY)
             assert await reader.read() == b""
     finally:
--- a/tests/host/test_takeovers.py
+++ b/tests/host/test_takeovers.py
@@ -1,4 +1,4 @@
-"""Who takes over what, in virtual time: owners, jobs and runs that others left."""
+"""Takeovers in virtual time: new owners of shards, and of jobs and runs of former owners."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_a_killed_host_renews_no_lease() -> None:
-    """What it owned ends with it, so that what ran there is over within a lease."""
+    """Its tenures end with it, so that the runs of its hall end within a lease."""
 
     async def play() -> HallWorld:
         world = HallWorld(hosts_per_hall=1)
@@ -51,7 +51,7 @@
 
 
 def test_a_host_that_was_cut_off_does_not_claim_at_once() -> None:
-    """After a cut the silence of the owner may have been the host's own."""
+    """After a cut, the owner may have seemed silent only because the host could not read."""
 
     async def play() -> HallWorld:
         world = HallWorld()
@@ -68,8 +68,8 @@
     assert len(world.log.named("OWNER_CLAIMED")) == 1
 
 
-def test_a_cut_hall_is_not_robbed_of_its_jobs() -> None:
-    """A remote owner must not move what the cut owner may be running."""
+def test_a_hall_that_is_cut_off_keeps_its_jobs() -> None:
+    """A remote owner must not move jobs that the cut-off owner may be running."""
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"))
@@ -91,8 +91,8 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_found_run_ends_before_its_task_starts_elsewhere() -> None:
-    """A new owner finds a run that the record does not know."""
+def test_a_recovered_run_ends_before_its_task_starts_elsewhere() -> None:
+    """A new owner finds a run that is not on record."""
 
     async def play() -> HallWorld:
         world = HallWorld(late_share=0.3, lost_answer_share=0.2, seed=5)
@@ -114,8 +114,11 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_job_on_its_way_to_another_hall_is_not_taken_in_again() -> None:
-    """A new owner that found a handover under way started the job on news of it."""
+def test_a_job_that_is_being_moved_is_not_accepted_again() -> None:
+    """Guards against a new owner that recovers an unfinished move and starts the job itself.
+
+    The second submission of the job made it do so.
+    """
 
     async def play() -> HallWorld:
         world = HallWorld(halls=("east", "west"), hosts_per_hall=1)
@@ -132,7 +135,7 @@
         candidate = started.host.candidates[0]
         while candidate.tenure is None or not candidate.tenure.core.executors:
             await asyncio.sleep(0.001)
-        # The caller sends the job once more before the other hall was told.
+        # The caller sends the job once more before the move was announced to the other hall.
         world.store.put(JOBS, *encode(Submitted(spec, 1, 0.0, "life-y")))
         await asyncio.sleep(1.0)
         assert world.starts == {}
@@ -141,8 +144,8 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_run_of_a_job_that_was_not_read_yet_is_taken_over() -> None:
-    """A former owner started it while the new one was taking over."""
+def test_a_run_of_a_job_that_was_not_read_yet_is_recovered() -> None:
+    """A former owner started the run while the new owner was taking over."""
 
     async def play() -> HallWorld:
         world = HallWorld(hosts_per_hall=1)
--- a/tests/host/test_trace_of_two_starts.py
+++ b/tests/host/test_trace_of_two_starts.py
@@ -1,4 +1,4 @@
-"""The lines of all hosts explain a start in one hall and a second one in another."""
+"""The log lines of all hosts explain a start in one hall and a second start in another."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.virtual_time import run_virtual
 
 
-def test_a_second_start_names_the_record_by_which_its_owner_took_the_job() -> None:
-    """The record is not one that an owner would write: the job has begun."""
+def test_a_second_start_names_the_record_by_which_its_owner_accepted_the_job() -> None:
+    """The test writes the record of the move: an owner does not move a job that has begun."""
 
     async def play() -> tuple[HallWorld, str, int]:
         world = HallWorld(halls=("east", "west"))
@@ -22,8 +22,8 @@
         spec = world.new_job(step(1), step(1, estimate_s=20.0, depends_on=(0,)))
         await world.submit("east-host-0", spec)
         await asyncio.sleep(3.0)
-        (taken,) = world.log.named("JOB_TAKEN_IN")
-        home = taken["shard"]
+        (accepted,) = world.log.named("JOB_TAKEN_IN")
+        home = accepted["shard"]
         world.store.put(JOBS, *encode(Moved(spec.job_id, 1 - home)))
         await asyncio.sleep(3.0)
         return world, spec.job_id, home
@@ -34,6 +34,6 @@
     assert (first.shard, second.shard) == (str(home), str(1 - home))
     assert first.host != second.host
     assert first.reason.startswith("new offset=")
-    taken = world.log.named("JOB_TAKEN_IN")[-1]
+    accepted = world.log.named("JOB_TAKEN_IN")[-1]
     assert second.reason.startswith("new moved ")
-    assert f"moved_at={taken['moved_at']}" in second.reason
+    assert f"moved_at={accepted['moved_at']}" in second.reason
--- a/tests/host/test_unanswered_crashes.py
+++ b/tests/host/test_unanswered_crashes.py
@@ -25,10 +25,11 @@
 def test_a_task_whose_starts_are_never_answered_is_given_up(
     after_s: float, *, resets: bool, lists_machines: bool
 ) -> None:
-    """Guards against starts without end of a task that crashes its executor before it answers.
+    """Guards against endless starts of a task that crashes its executor before the answer.
 
-    A run that nobody knows to have been there convicted no task, whatever it had crashed before.
+    A crash under an unconfirmed run did not count against its task, however many executors had
+    crashed under the task before.
     """
-    world, shown = run_virtual(_played(after_s, resets=resets, lists_machines=lists_machines))
+    world, job_states = run_virtual(_played(after_s, resets=resets, lists_machines=lists_machines))
     assert world.problems == []
-    assert shown == ["failed"]
+    assert job_states == ["failed"]
--- a/tests/host/test_unanswered_starts_of_former_owners.py
+++ b/tests/host/test_unanswered_starts_of_former_owners.py
@@ -1,4 +1,4 @@
-"""Starts that never arrive, at an executor that starts again and again, over a change of owners."""
+"""Starts that never arrive, at an executor that restarts repeatedly, across a change of owners."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.job_builders import step
 from tests.virtual_time import run_virtual
 
-FALLS = 5
-"""Falls of the one executor: more than give a task up that is there each time."""
+CRASHES = 5
+"""Crashes of the one executor: more than a task survives that runs at each of them."""
 
-BETWEEN_S = 2.5
-"""Time between two of them: a start without an answer is given up on, and sent again."""
+CRASH_INTERVAL_S = 2.5
+"""Time between two crashes, within which an unanswered start is given up and sent again."""
 
 
 @dataclass
@@ -23,22 +23,22 @@
     """A deployment in which orders are lost for a while.
 
     Attributes:
-        losing: Whether they are.
+        losing: Whether orders are lost now.
     """
 
     losing: bool = False
 
     def late_by(self) -> float:
-        # Beyond the end of the play.
+        # Later than the end of the test.
         return 10_000.0 if self.losing else 0.0
 
 
 async def _played(*, change: bool) -> tuple[HallWorld, str]:
-    """Play falls of an executor that no run ever came to."""
+    """Play crashes of an executor that no start ever reached."""
     world = LosingStarts(executors_per_hall=1)
     await world.begin()
     address = "east-0:1"
-    # Lives are told apart by their births.
+    # Incarnations are distinguished by their start times.
     world.restart_executor(address, down_s=0.1)
     await asyncio.sleep(5.0)
     world.trouble()
@@ -52,9 +52,9 @@
         world.kill_host(owner)
         await asyncio.sleep(6.0)
         assert world.owner()
-    for _ in range(FALLS):
+    for _ in range(CRASHES):
         world.restart_executor(address, down_s=0.1)
-        await asyncio.sleep(BETWEEN_S)
+        await asyncio.sleep(CRASH_INTERVAL_S)
     world.losing = False
     world.trouble()
     await asyncio.sleep(60.0)
@@ -65,8 +65,8 @@
 def test_a_start_that_never_arrives_gives_no_job_up(*, change: bool) -> None:
     """Guards against a job shown as failed that no executor ever ran.
 
-    A next owner takes a start on record for a run that was there, answered or not, and counts it
-    as a crash at the end of each life that it may have come to.
+    A next owner assumes that each start on record had a run, answered or not, and counts a crash
+    at the end of each incarnation that the start may have reached.
     """
     world, state = run_virtual(_played(change=change), limit_s=400.0)
     assert world.problems == []
--- a/tests/host/test_unread_roster.py
+++ b/tests/host/test_unread_roster.py
@@ -1,12 +1,12 @@
-"""An owner that cannot read which executors its predecessor used waits for all of their leases.
+"""An owner that cannot read which executors the previous owner used waits for all of their leases.
 
-What was suspected: a task runs on two executors at once after a takeover.
+The failure guarded against: a task runs on two executors at once after a takeover.
 
-How it comes about: the record that names the executors of a hall does not decode, as one that
-another version wrote. The new owner passes it over and goes on as if its predecessor had used
-none: nothing is waited for, and a run on record at an executor that is not named counts as over.
+The record that names the executors of a hall does not decode, because another version wrote it.
+The new owner ignores the record and goes on as if the previous owner had used no executor: it
+waits for no lease, and a recorded run at an executor that is not named counts as ended.
 
-What proves it: the play; with a record that decodes the same host waits.
+With a record that decodes, the same host waits.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("value", [b'{"later": []}', None])
-def test_a_run_is_waited_for_though_the_roster_is_not_read(value: bytes | None) -> None:
+def test_a_run_is_waited_for_though_the_roster_cannot_be_read(value: bytes | None) -> None:
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
         await world.begin()
@@ -37,8 +37,8 @@
         if value is not None:
             world.store.put(PROGRESS, ROSTER_KEY, value)
         world.kill_host(first)
-        busy = next(a for a, e in world.executors.items() if e.running)
-        world.cuts.add((second, busy))
+        busy_address = next(a for a, e in world.executors.items() if e.running)
+        world.cuts.add((second, busy_address))
         await asyncio.sleep(OUTLIVED_S)
         return world
 
--- a/tests/host/test_unwritten_roster.py
+++ b/tests/host/test_unwritten_roster.py
@@ -1,7 +1,7 @@
-"""No work goes to an executor of which the next owner would not know.
+"""No work goes to an executor that the next owner would not know of.
 
-A new owner waits for the executors on the roster of the one before. The plays fail with the
-rule taken out that an executor gets work only once the roster with its name is durable.
+A new owner waits for the executors on the roster of the previous owner. An executor therefore
+gets work only once the roster that names it is durable; these tests fail without that rule.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from tests.virtual_time import run_virtual
 
 FULL_S = 6.0
-"""Length of the work that fills the hall at first."""
+"""Duration of the work that fills the hall at first."""
 
 BEGUN_S = 3.0
-"""Time after which an executor that came was found, and work that can begin there has."""
+"""Time after which a new executor has been found, and work that may start there has started."""
 
 OUTLIVED_S = 12.0
-"""Time by which a successor has found all executors that it reaches, and started what waits."""
+"""Time by which the next owner has found all reachable executors and started queued work."""
 
 LONG_S = 100.0
-"""Length of the work that waits."""
+"""Duration of the queued work."""
 
 
 @pytest.mark.parametrize("written", [True, False])
@@ -39,12 +39,12 @@
         assert await world.submit(first, world.new_job(fill)) == 200
         if not written:
             world.away.add((first, "progress"))
-        came = world.add_executor("east", "east-new:1")
+        added = world.add_executor("east", "east-new:1")
         assert await world.submit(first, world.new_job(step(1, estimate_s=LONG_S))) == 200
         await asyncio.sleep(BEGUN_S)
-        assert bool(came.running) is written
+        assert bool(added.running) is written
         world.kill_host(first)
-        world.cuts.add((second, came.record.address))
+        world.cuts.add((second, added.record.address))
         await asyncio.sleep(OUTLIVED_S)
         return world
 
--- a/tests/host/test_whole_moves.py
+++ b/tests/host/test_whole_moves.py
@@ -1,16 +1,16 @@
 """A job that began in one hall is not run again from its first run in another hall.
 
-What was seen: run 1 of two tasks of a job ended well in one hall. Nearly all hosts were
-killed and started again; then an owner that had just started, of another hall, began run 1
-of the same tasks. An owner that takes work over begins at run 16: the other hall held the
-job for new, or got it whole.
+The failure: run 1 of two tasks of a job ended well in one hall. Nearly all hosts were killed and
+restarted; then an owner of another hall that had just started began run 1 of the same tasks. An
+owner that takes work over begins at run 16, so the other hall considered the job new, or the job
+had moved there whole.
 
-How it can come about: the progress of a job is not durable when its owner dies. The next
-owner learns of its runs from executors, or from the record that it began. If it overlooks
-that and the hall has no room, the job moves whole, and the other hall runs all of it.
+The progress of a job is not durable when its owner crashes. The next owner learns of its runs from
+executors, or from the record that the job began. If it misses both and the hall has no capacity,
+the job moves whole, and the other hall runs all of it.
 
-What showed it: the first play, and the drawn days, with the rule taken out that an end
-counts as a beginning; the second play as it stands.
+The first test and the randomized days fail without the rule that an end counts as a beginning;
+the second test failed before the fix without such a change.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 from tests.virtual_time import run_virtual
 
 UNWRITTEN_S = 0.03
-"""Time after an acceptance by which the first tasks run and no progress is written yet."""
+"""Time after an acceptance at which the first tasks run and no progress is written yet."""
 
 ENDED_S = 1.4
 """Time by which tasks of one second have ended."""
 
 LONG_S = 60.0
-"""Length of the work that fills the first hall."""
+"""Duration of the work that fills the first hall."""
 
 
-def test_a_job_known_by_its_ends_does_not_move() -> None:
-    """Its next step waits for room, of which the other hall has enough."""
+def test_a_job_known_only_by_its_ended_runs_does_not_move() -> None:
+    """The job's next step waits for capacity, of which the other hall has enough."""
 
     async def play() -> HallWorld:
-        world = await _first_hall_full_but_for(milli_cpu=2_000)
+        world = await _fill_first_hall_except(milli_cpu=2_000)
         spec = world.new_job(step(2), step(2, cpu=6_000, depends_on=(0,)))
         owner = world.owner(0)
         assert owner
@@ -62,10 +62,10 @@
 
 
 def test_a_job_whose_beginning_is_on_record_does_not_move() -> None:
-    """Its progress was not written, and nothing of it is found at the executors."""
+    """The job's progress was not written, and no executor reports a run of it."""
 
     async def play() -> HallWorld:
-        world = await _first_hall_full_but_for(milli_cpu=500)
+        world = await _fill_first_hall_except(milli_cpu=500)
         _kill_all(world)
         spec = world.new_job(step(2))
         _accept(world, spec)
@@ -80,25 +80,25 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_day_in_the_pattern_of_the_record_breaks_no_promise(seed: int) -> None:
+def test_a_day_in_the_recorded_fault_pattern_breaks_no_promise(seed: int) -> None:
     assert run_virtual(RecordedDay(seed).play(), limit_s=400.0).problems == []
 
 
-async def _first_hall_full_but_for(*, milli_cpu: int) -> HallWorld:
-    """Return two halls; each executor of the first one has so much room left."""
+async def _fill_first_hall_except(*, milli_cpu: int) -> HallWorld:
+    """Return a world of two halls; each executor of the first has `milli_cpu` left."""
     world = HallWorld(halls=("east", "west"))
     await world.begin()
     owner = world.owner(0)
     assert owner
     fill = step(3, cpu=world.milli_cpu - milli_cpu, estimate_s=LONG_S, max_per_executor=1)
     await world.submit(owner, world.new_job(fill))
-    # Until halls know of each other.
+    # Wait until the halls know of each other.
     await asyncio.sleep(3.0)
     return world
 
 
 def _accept(world: HallWorld, spec: JobSpec) -> None:
-    """Have a job accepted for the first hall."""
+    """Record a job as accepted for the first hall."""
     world.specs[spec.job_id] = spec
     world.store.put(JOBS, *encode(Submitted(spec, 0, time.time(), "life-x")))
 
--- a/tests/host/test_wide_day_seeds.py
+++ b/tests/host/test_wide_day_seeds.py
@@ -1,16 +1,16 @@
-"""Drawn days of a wide site in which a task ran twice.
+"""Randomized days of a wide site on which a task ran twice.
 
-What was seen: two runs of one task at once, and runs of tasks that had ended and whose ends
-were noted afterwards.
+The failure: two runs of one task at once, and runs of tasks that had ended and whose ends were
+recorded afterwards.
 
-How it came about, by seed. In 9507 a new owner stood still just after the first reports, and
-an executor did not answer it then: its runs, lent ones among them, counted as lapsed at once
-(``test_first_lease.py``). In 9504 and 5002 an owner that was cut from the store went on at an
-executor, while a later one claimed the shard from earlier lives of its own host, and waited
-for one lease only (``test_owners_in_a_row.py``).
+The cause, by seed. In 9507 a new owner was frozen just after the first reports, and an executor did
+not answer it at that time: its runs, delegated ones among them, counted as expired at once
+(``test_first_lease.py``). In 9504 and 5002 an owner that was cut off from the store went on at an
+executor, while a later owner claimed the shard from earlier incarnations of its own host, and
+waited for one lease only (``test_owners_in_a_row.py``).
 
-What proved it: the days themselves, with either of the two mended in a copy of the code: 9507
-then breaks nothing by the first alone, 9504 by the second alone.
+With the first fault alone fixed, 9507 breaks nothing; with the second alone fixed, 9504 breaks
+nothing.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from tests.virtual_time import run_virtual
 
 LIMIT_S = 400.0
-"""Longest time of a day, in virtual seconds."""
+"""Longest duration of a day, in virtual seconds."""
 
 
 @pytest.mark.parametrize("seed", [9504, 9507])
--- a/tests/host/test_wide_days.py
+++ b/tests/host/test_wide_days.py
@@ -1,4 +1,4 @@
-"""Days of a wide site: steps of 10 and 20 tasks, lent work, silent executors, lost hosts."""
+"""Days of a wide site: steps of 10 and 20 tasks, delegated work, silent executors, lost hosts."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from tests.wide_world import WideExecutor, WideWorld
 
 LIMIT_S = 400.0
-"""Longest time of a day, in virtual seconds."""
+"""Longest duration of a day, in virtual seconds."""
 
 BEGUN_S = 1.0
 """Time after a submission by which its tasks run."""
 
-UNNOTED_S = 0.3
+UNRECORDED_S = 0.3
 """Time after a submission by which its task runs and has not ended."""
 
 
@@ -26,14 +26,14 @@
 def test_a_wide_day_breaks_no_promise(seed: int) -> None:
     day = WideDay(seed, hosts_per_hall=3, jobs_per_s=3.0)
     assert run_virtual(day.play(), limit_s=LIMIT_S).problems == []
-    # Without any lent or moved work, or any new owner, a day shows nothing.
+    # A day without delegated or moved work, or without new owners, tests nothing.
     names = [event for _, event, _ in day.wide.log.lines]
     assert "WORK_HANDED_OVER" in names
     assert names.count("OWNER_CLAIMED") > len(day.wide.halls)
 
 
-def test_a_task_that_lasts_and_runs_in_two_halls_is_found() -> None:
-    """Whoever looks after a lent task: it runs once."""
+def test_a_standing_task_that_runs_in_two_halls_is_detected() -> None:
+    """A standing task runs once, whichever hall is responsible for it."""
 
     async def play() -> WideWorld:
         world = WideWorld(halls=("east", "west"))
@@ -52,7 +52,7 @@
     assert " TWICE " in line
 
 
-def test_an_end_whose_lease_lapsed_before_it_was_noted_is_excused() -> None:
+def test_an_end_whose_lease_expired_before_it_was_recorded_is_tolerated() -> None:
     async def play() -> WideWorld:
         world = WideWorld(halls=("east",))
         await world.begin()
@@ -60,7 +60,7 @@
         assert owner
         spec = world.new_job(step(1))
         assert await world.submit(owner, spec) == 200
-        await asyncio.sleep(UNNOTED_S)
+        await asyncio.sleep(UNRECORDED_S)
         (executor,) = (e for e in world.executors.values() if e.running)
         assert isinstance(executor, WideExecutor)
         (run,) = executor.running.values()
--- a/tests/host/wide_day.py
+++ b/tests/host/wide_day.py
@@ -1,4 +1,4 @@
-"""Days of a wide site: wide steps, full halls, lent work, silent executors, lost hosts."""
+"""Days of a wide site: wide steps, full halls, delegated work, silent executors, lost hosts."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 from tests.wide_world import WideWorld
 
 HOSTS = 4
-"""Hosts of a hall: with one that stands still, one cut off and some that start anew."""
+"""Number of hosts of a hall: one that freezes, one that is cut off and some that restart."""
 
 EXECUTORS = 6
-"""Executors of a hall: a step of 20 tasks fills it."""
+"""Number of executors of a hall: a step of 20 tasks fills them."""
 
-MOST_STANDING = 4
-"""Jobs of 14 lasting tasks: they take up to two thirds of the cores."""
+MAX_STANDING_JOBS = 4
+"""Number of jobs of 14 standing tasks: they take up to two thirds of the cores."""
 
 MISPLACED_SHARE = 0.5
-"""Share of them that are accepted for any hall, as by a host with old news of its room."""
+"""Share of these jobs accepted for a random hall, as by a host with outdated summaries."""
 
 BLACKOUTS = 5
-"""Groups of executors that some hosts do not reach, or are reached by and not heard from."""
+"""Number of groups of executors that some hosts do not reach, or whose answers they miss."""
 
-BLACKOUT_S = 4.0, 17.0
-"""How long such a time lasts: leases last 10 s, and with a former owner's time longer."""
+BLACKOUT_RANGE_S = 4.0, 17.0
+"""Range of a blackout's duration: leases last 10 s, longer where a former owner may still act."""
 
 
-FIRST_REPORT_S = 1.5
+FIRST_REPORT_LIMIT_S = 1.5
 """Longest wait for the first report to a new owner."""
 
 
 class WideDay(OverlappingDay):
-    """Traffic of one seed in halls that are full, and troubles in one pattern.
+    """Traffic of one seed in halls that are full, and faults in one pattern.
 
-    Answers of the store are lost; hosts are cut from it, stand still or are killed, owners
-    in a row among them; executors are silent to some hosts for longer than a lease lasts;
-    the store is away just after a claim.
+    Answers of the store are lost; hosts are cut off from it, freeze or are killed, consecutive
+    owners among them; executors are silent to some hosts for longer than a lease lasts; the store
+    is down just after a claim.
 
     Args:
-        seed: Decides all that is drawn.
-        hosts_per_hall: Hosts of a hall.
-        executors_per_hall: Executors of a hall.
-        jobs_per_s: New jobs a second.
-        troubles: Troubles of any kind that begin beside the pattern.
+        seed: Decides all random choices.
+        hosts_per_hall: Number of hosts of a hall.
+        executors_per_hall: Number of executors of a hall.
+        jobs_per_s: New jobs per second.
+        troubles: Number of faults of any kind that begin in addition to the pattern.
     """
 
     def __init__(
@@ -82,16 +82,16 @@
         for part in (
             self._pattern,
             self._blackouts,
-            self._owners_in_a_row,
-            self._store_away,
-            self._new_owners_stand_still,
+            self._kill_consecutive_owners,
+            self._lose_store_after_claim,
+            self._freeze_new_owners,
         ):
             group.create_task(part())
         await super()._traffic(group)
 
     def _job(self) -> JobSpec:
         random, world = self.random, self.world
-        if self._standing < MOST_STANDING and random.random() < 0.3:
+        if self._standing < MAX_STANDING_JOBS and random.random() < 0.3:
             self._standing += 1
             cpu = random.choice((800, 1_500, 2_500))
             spread = random.choice((0, 0, 3))
@@ -122,28 +122,28 @@
         world.accepted.add(spec.job_id)
 
     async def _ask_for_all(self) -> None:
-        """Leave the ends of jobs to other days: in full halls not all of them come in time."""
+        """Skip the check that all jobs end: in full halls not all of them end in time."""
 
     async def _pattern(self) -> None:
-        """Lose answers, cut a host off, let one stand still, and start the others anew."""
+        """Lose answers, cut off a host, freeze another, and restart the rest."""
         world, random = self.world, self.random
         names = sorted(world.hosts)
-        still, away = random.sample(names, 2)
+        frozen, cut_off = random.sample(names, 2)
         owner = world.owner(random.randrange(len(world.halls)))
-        if random.random() < 0.5 and owner and owner != still:
-            away = owner
+        if random.random() < 0.5 and owner and owner != frozen:
+            cut_off = owner
         await self.last(2.0, 5.0)
         world.store.losing = random.uniform(0.2, 0.8)
         world.store.late = random.random() < 0.5
-        world.store.silent.add(away)
+        world.store.silent.add(cut_off)
         if random.random() < 0.4:
             self._cut_hall(random.choice(world.halls))
         await self.last(1.0, 4.0)
-        running = world.hosts.get(still)
+        running = world.hosts.get(frozen)
         if running:
-            world.freeze_host(still)
+            world.freeze_host(frozen)
         await self.last(0.0, 0.5)
-        killed = [name for name in names if name not in (still, away) and name in world.hosts]
+        killed = [name for name in names if name not in (frozen, cut_off) and name in world.hosts]
         self._kill(killed)
         world.store.losing = 0.0
         await self.last(0.5, 1.2)
@@ -155,7 +155,7 @@
         if running:
             world.thaw(running)
         await self.last(0.5, 5.0)
-        world.store.silent.discard(away)
+        world.store.silent.discard(cut_off)
         world.cuts -= self._hall_cuts
 
     def _cut_hall(self, hall: str) -> None:
@@ -168,7 +168,7 @@
                 group.create_task(self._blackout())
 
     async def _blackout(self) -> None:
-        """Keep some hosts from some executors of one hall, or from their answers."""
+        """Cut some hosts off from some executors of one hall, or from their answers."""
         world, random = self.wide, self.random
         await self.last(1.0, 12.0)
         hall = random.choice(world.halls)
@@ -185,15 +185,15 @@
         pairs = {(name, address) for name in hosts for address in chosen}
         where = random.choice((world.cuts, world.deaf))
         where |= pairs
-        await self.last(*BLACKOUT_S)
+        await self.last(*BLACKOUT_RANGE_S)
         where -= pairs
 
-    async def _owners_in_a_row(self) -> None:
-        """Cut an owner from the store, and kill those that come after it soon."""
+    async def _kill_consecutive_owners(self) -> None:
+        """Cut an owner off from the store, and kill the next owners soon after their claims."""
         world, random = self.world, self.random
         if random.random() < 0.3:
             return
-        # Behind the kills of the pattern on most days, so that the first owner lives on.
+        # On most days this is after the kills of the pattern, so that the first owner survives.
         await self.last(6.0, 12.0)
         shard = random.randrange(len(world.halls))
         first = world.owner(shard)
@@ -203,7 +203,7 @@
         split = self._split(first) if random.random() < 0.6 else set()
         world.cuts |= split
         for _ in range(random.randint(1, 3)):
-            await self._until_claimed(shard, 4.0)
+            await self._wait_for_claim(shard, 4.0)
             await self.last(0.1, 1.5)
             later = [
                 name
@@ -213,33 +213,33 @@
             self._kill(later)
             await self.last(0.3, 1.0)
             self._start(later)
-        # Its time unproved and a lease, from its last proof on.
+        # The longest time that an owner acts without confirmed ownership, and a lease.
         await self.last(8.0, 16.0)
         world.store.silent.discard(first)
         world.cuts -= split
 
-    def _split(self, alone: str) -> set[tuple[str, str]]:
-        """Return the pairs that a cut around a host and some executors of its hall separates."""
+    def _split(self, isolated: str) -> set[tuple[str, str]]:
+        """Return the pairs cut by a partition that isolates a host and some of its executors."""
         world, random = self.world, self.random
-        hall = dict(world.host_names())[alone]
+        hall = dict(world.host_names())[isolated]
         addresses = sorted(a for a, e in world.executors.items() if e.record.hall == hall)
-        beside = set(random.sample(addresses, random.randint(1, 3)))
+        reachable = set(random.sample(addresses, random.randint(1, 3)))
         return {
             (name, address)
             for name, _ in world.host_names()
             for address in world.executors
-            if (name == alone) != (address in beside)
+            if (name == isolated) != (address in reachable)
         }
 
-    async def _new_owners_stand_still(self) -> None:
-        """Let new owners stand still for a moment, and some executors be silent to them then."""
+    async def _freeze_new_owners(self) -> None:
+        """Freeze new owners for a moment, and cut them off from some executors after that."""
         world, random = self.world, self.random
         await self.last(2.0, 5.0)
         until = asyncio.get_running_loop().time() + 12.0
         while asyncio.get_running_loop().time() < until:
             before = self._owners()
-            await self._until_claimed(None, 2.0)
-            owners = await self._first_heard(before)
+            await self._wait_for_claim(None, 2.0)
+            owners = await self._wait_for_first_reports(before)
             if not owners or random.random() < 0.3:
                 continue
             owner = random.choice(owners)
@@ -253,32 +253,32 @@
             await self.last(1.5, 6.0)
             world.cuts -= pairs
 
-    async def _first_heard(self, before: set[str]) -> list[str]:
-        """Wait for first reports at new owners, and return these."""
+    async def _wait_for_first_reports(self, before: set[str]) -> list[str]:
+        """Wait until a new owner has its first report, and return the new owners."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_REPORT_S):
-                while not any(map(self._hears, self._owners() - before)):
+            async with asyncio.timeout(FIRST_REPORT_LIMIT_S):
+                while not any(map(self._has_report, self._owners() - before)):
                     await asyncio.sleep(0.01)
         await self.last(0.0, 0.06)
         return sorted(self._owners() - before)
 
-    def _hears(self, name: str) -> bool:
-        """Whether a host owns a shard and has heard of an executor there."""
+    def _has_report(self, name: str) -> bool:
+        """Return whether a host owns a shard and an executor there has reported to it."""
         tenures = [c.tenure for c in self.world.hosts[name].host.candidates if c.tenure]
         return any(e.has_reported for t in tenures for e in t.core.executors.values())
 
     def _owners(self) -> set[str]:
-        """Return the hosts that own a shard, as they know."""
+        """Return the hosts that own a shard by their own view."""
         running = self.world.hosts.items()
         return {n for n, r in running if any(c.tenure for c in r.host.candidates)}
 
-    async def _store_away(self) -> None:
-        """Let the store be away for all hosts, or for some, just after a claim."""
+    async def _lose_store_after_claim(self) -> None:
+        """Make the store silent to all hosts, or to half of them, just after a claim."""
         world, random = self.world, self.random
         if random.random() < 0.4:
             return
         await self.last(3.0, 8.0)
-        await self._until_claimed(None, 5.0)
+        await self._wait_for_claim(None, 5.0)
         await self.last(0.0, 0.4)
         names = sorted(dict(world.host_names()))
         victims = set(names)
@@ -288,7 +288,7 @@
         await self.last(6.0, 12.0)
         world.store.silent -= victims
 
-    async def _until_claimed(self, shard: int | None, limit_s: float) -> None:
+    async def _wait_for_claim(self, shard: int | None, limit_s: float) -> None:
         """Wait for the next claim, of one shard or any."""
         before = self._claims(shard)
         with suppress(TimeoutError):
