--- a/tests/attempt_budget.py
+++ b/tests/attempt_budget.py
@@ -1,4 +1,4 @@
-"""A judge of one rule: no start once as many runs have failed as the queue allows."""
+"""Checks that no task is started after its queue's limit of failed runs is reached."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class AttemptBudget:
-    """Compares starts with the failed ends that owners took note of, before them or later.
+    """Compares starts with the failed ends that owners acknowledged, before or after the start.
 
     Args:
-        judge: Knows the jobs.
+        judge: Supplies the queue's limit and the steps of the jobs.
     """
 
     def __init__(self, judge: RunJudge) -> None:
@@ -27,10 +27,10 @@
         self._noted: defaultdict[TaskName, set[FailedAttempt]] = defaultdict(set)
         self._noted_in_lease: defaultdict[TaskName, dict[FailedAttempt, float]] = defaultdict(dict)
         self._starts: defaultdict[TaskName, list[float]] = defaultdict(list)
-        self._found: set[TaskName] = set()
+        self._reported: set[TaskName] = set()
 
     def on_start(self, task: TaskName) -> list[str]:
-        """Return what is wrong with a start."""
+        """Return the violations of a start, empty if it is allowed."""
         unit = unit_of(task, self._judge.step_of(task))
         self._starts[unit].append(world_time())
         used_up = len(self._noted[unit]) >= self._judge.queue.max_attempts
@@ -39,13 +39,15 @@
         return [f"BUDGET {task}"]
 
     def on_failed(self, executor: MemoryExecutor, task: TaskName, run: int) -> None:
-        """Take in that a run ended as failed."""
+        """Record that a run ended as failed."""
         self._ended[executor.incarnation_name, task, run] = world_time()
 
     def on_noted(self, executor: MemoryExecutor, end: EndedTask) -> list[str]:
-        """Return the start that a failed end, of which an owner takes note, came before.
+        """Return the violation that an acknowledged failed end proves, empty if none.
 
-        An end whose executor's lease lapsed before that is taken note of from here on only.
+        An end counts from the time of the failure, so that a start between the failure and
+        its acknowledgement is a violation, too. If the executor's lease expired before the
+        acknowledgement, the end counts from the acknowledgement on.
         """
         step = self._judge.step_of(end.task)
         unit, failed = unit_of(end.task, step), attempt_of(end.run, executor.incarnation_name, step)
@@ -55,12 +57,12 @@
             return []
         in_lease = self._noted_in_lease[unit]
         in_lease[failed] = min(in_lease.get(failed, ended), ended)
-        most = self._judge.queue.max_attempts
-        if len(in_lease) < most or unit in self._found:
+        max_attempts = self._judge.queue.max_attempts
+        if len(in_lease) < max_attempts or unit in self._reported:
             return []
-        last = sorted(in_lease.values())[most - 1]
-        after = [start for start in self._starts[unit] if start > last]
-        if not after:
+        limit_reached_at = sorted(in_lease.values())[max_attempts - 1]
+        starts = [start for start in self._starts[unit] if start > limit_reached_at]
+        if not starts:
             return []
-        self._found.add(unit)
-        return [f"BUDGET {end.task} began at {after[0]:.2f}, after {most} runs had failed"]
+        self._reported.add(unit)
+        return [f"BUDGET {end.task} began at {starts[0]:.2f}, after {max_attempts} runs had failed"]
--- a/tests/attempts.py
+++ b/tests/attempts.py
@@ -1,4 +1,4 @@
-"""What uses a task's attempts up: failed runs, each once; members of a gang share theirs."""
+"""Counting of failed runs: each counts once, and the members of a gang share one count."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class FailedAttempt(NamedTuple):
-    """A failed run, as it counts.
+    """Identity under which a failed run is counted.
 
     Attributes:
-        run: Its number.
-        incarnation: The executor's life that ran it: owners that do not know of each other may give
-            one number twice. Empty for a gang, whose members run on many.
+        run: Number of the run.
+        incarnation: Executor incarnation that ran it: owners that do not know of each other may
+            assign the same number twice. Empty for a gang, whose members run on several.
     """
 
     run: int
@@ -23,10 +23,10 @@
 
 
 def unit_of(task: TaskName, step: StepSpec) -> TaskName:
-    """Return what attempts are counted of: the task, or the first member of its gang."""
+    """Return the task under which attempts are counted: for a gang, its first member."""
     return task._replace(index=0) if step.gang else task
 
 
 def attempt_of(run: int, incarnation: str, step: StepSpec) -> FailedAttempt:
-    """Return what a failed run counts as."""
+    """Return the identity under which a failed run is counted."""
     return FailedAttempt(run, "" if step.gang else incarnation)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of jobs, workers and ledgers for the tests of the scheduler and the ledger."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def worker(name: str = "w1", cores: int = 4, **changes: Any) -> WorkerSpec:
-    """Return a worker with as many thousand megabytes as cores."""
+    """Return a worker with 1,000 MB of memory for each core."""
     fields: dict[str, Any] = {
         "name": name,
         "incarnation": 1,
@@ -40,23 +40,23 @@
 
 
 class LedgerBuilder:
-    """A ledger with a writer that has always read everything."""
+    """A ledger whose writer has read all records before each decision."""
 
     def __init__(self, hall: str = "rennes-a") -> None:
         self.ledger = Ledger(hall)
 
     def apply(self, *decisions: Decision, read_offset: int | None = None) -> list[ApplyResult]:
-        """Fold in one record of these decisions."""
+        """Apply one record with these decisions."""
         offset = self.ledger.next_offset
         read = offset if read_offset is None else read_offset
         return self.ledger.apply(offset, Record("s1", offset, read, decisions))
 
     def with_worker(self, *specs: WorkerSpec) -> LedgerBuilder:
-        """Add workers; their ledger numbers count from 1."""
+        """Add workers, with ledger numbers from 1."""
         self.apply(*(WorkerSeen(spec) for spec in specs or (worker(),)))
         return self
 
     def with_job(self, *specs: JobSpec) -> LedgerBuilder:
-        """Add jobs; their ledger numbers count from 1."""
+        """Add jobs, with ledger numbers from 1."""
         self.apply(*(Submitted(spec) for spec in specs or (job(),)))
         return self
--- a/tests/cancelling_days.py
+++ b/tests/cancelling_days.py
@@ -1,4 +1,4 @@
-"""Days with troubles that overlap, for tests in virtual time."""
+"""Scenarios in virtual time in which callers cancel jobs during overlapping faults."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from tests.job_builders import step
 
 TROUBLES: dict[str, Callable[[HallWorld, Random], Awaitable[None]]] = {}
-"""Troubles by name; each ends by itself."""
+"""Faults by name. Each one ends by itself."""
 
 
 def trouble(
     play: Callable[[HallWorld, Random], Awaitable[None]],
 ) -> Callable[[HallWorld, Random], Awaitable[None]]:
-    """Register a trouble under its function's name."""
+    """Register a fault under its function's name."""
     TROUBLES[play.__name__] = play
     return play
 
 
 async def cancelling_day(seed: int, *, troubles: int = 10) -> HallWorld:
-    """Play a day on which callers cancel many of their jobs, amid troubles that overlap."""
+    """Run a scenario in which callers cancel many jobs while several faults overlap."""
     world = HallWorld(
         halls=("east", "west"), hosts_per_hall=3, seed=seed, failing_share=0.03, late_most_s=12.0
     )
@@ -30,7 +30,7 @@
     random = world.random
     await world.begin()
     async with asyncio.TaskGroup() as group:
-        group.create_task(_call_and_cancel(world))
+        group.create_task(_run_callers(world))
         for _ in range(troubles):
             await asyncio.sleep(random.uniform(0.2, 3.0))
             name = random.choice(sorted(TROUBLES))
@@ -47,14 +47,14 @@
     await TROUBLES[name](world, world.random)
 
 
-async def _call_and_cancel(world: HallWorld) -> None:
+async def _run_callers(world: HallWorld) -> None:
     async with asyncio.TaskGroup() as group:
         for _ in range(30):
             await asyncio.sleep(world.random.uniform(0.1, 1.2))
-            group.create_task(_one_call(world))
+            group.create_task(_submit_and_cancel(world))
 
 
-async def _one_call(world: HallWorld) -> None:
+async def _submit_and_cancel(world: HallWorld) -> None:
     random = world.random
     if random.random() < 0.4:
         spec = world.new_job(step(random.randint(2, 5), standing=True, max_per_executor=1))
@@ -76,7 +76,7 @@
 
 @trouble
 async def late_orders(world: HallWorld, random: Random) -> None:
-    """Orders get no answer and are carried out seconds later."""
+    """Executors leave orders unanswered and carry them out seconds later."""
     world.late_share = random.choice((0.05, 0.3, 0.7))
     await asyncio.sleep(random.uniform(1.0, 6.0))
     world.late_share = 0.0
@@ -84,15 +84,15 @@
 
 @trouble
 async def lost_answers(world: HallWorld, random: Random) -> None:
-    """Orders are carried out, and their answers lost."""
+    """Executors carry out orders whose answers are lost."""
     world.lost_answer_share = random.choice((0.05, 0.3))
-    await _last(world, random.uniform(1.0, 5.0))
+    await _stay_faulty(world, random.uniform(1.0, 5.0))
     world.lost_answer_share = 0.0
 
 
 @trouble
 async def owner_removed(world: HallWorld, random: Random) -> None:
-    """An owner is stopped as planned and does not come back."""
+    """An owner drains, stops and does not start again."""
     name = world.owner(random.choice((0, 1)))
     if name and len(world.hosts) > 1:
         await world.remove_host(name)
@@ -100,7 +100,7 @@
 
 @trouble
 async def owner_killed(world: HallWorld, random: Random) -> None:
-    """An owner is killed and is back seconds later, if ever."""
+    """An owner is killed. In half of the cases it restarts seconds later."""
     shard = random.choice((0, 1))
     name = world.owner(shard)
     if not name or len(world.hosts) < 2:
@@ -114,24 +114,24 @@
     world.trouble()
     home = [host for host, hall in world.host_names() if hall == world.halls[shard]]
     while not any(host in world.hosts for host in home) and world.owner(shard) is None:
-        # A hall that was lost whole is in trouble until another one takes it over.
+        # The fault lasts until another hall owns the shard of a hall without hosts.
         await asyncio.sleep(0.05)
         world.trouble()
 
 
 @trouble
 async def store_away(world: HallWorld, random: Random) -> None:
-    """The store is silent, or refuses, towards some hosts or all."""
+    """The store refuses the calls of one host or all hosts, or leaves them unanswered."""
     names = [name for name, _ in world.host_names()]
     towards = random.choice((world.store.refusing, world.store.silent))
     towards.update(random.choice((names, [random.choice(names)])))
-    await _last(world, random.uniform(1.0, 5.0))
+    await _stay_faulty(world, random.uniform(1.0, 5.0))
     towards.clear()
 
 
 @trouble
 async def records_lost(world: HallWorld, random: Random) -> None:
-    """The store drops its history but for the newest record of each key."""
+    """The store drops all records except the newest one of each key."""
     for partition in list(world.store._logs):
         world.store.forget(partition)
     world.trouble()
@@ -139,19 +139,19 @@
 
 @trouble
 async def executor_crashed(world: HallWorld, random: Random) -> None:
-    """An executor is lost; another life of it comes at once or later."""
+    """An executor crashes. Its next incarnation starts at once or 8 s later."""
     address = random.choice(sorted(world.executors))
     if not world.executors[address].alive:
         return
     hall = world.executors[address].record.hall
     world.crash_executor(address, back=False)
-    await _last(world, random.choice((0.0, 8.0)))
+    await _stay_faulty(world, random.choice((0.0, 8.0)))
     world.add_executor(hall, address)
 
 
 @trouble
 async def hall_cut(world: HallWorld, random: Random) -> None:
-    """A hall reaches neither the store nor the other hall, nor is reached."""
+    """A hall is cut off from the store and, in both directions, from the other hall."""
     hall = random.choice(world.halls)
     for name, at in world.host_names():
         if at == hall:
@@ -159,13 +159,13 @@
         for other in world.halls:
             if other != at and hall in (at, other):
                 world.cut(name, other)
-    await _last(world, random.uniform(1.0, 7.0))
+    await _stay_faulty(world, random.uniform(1.0, 7.0))
     world.store.silent.clear()
     world.cuts.clear()
 
 
-async def _last(world: HallWorld, seconds: float) -> None:
-    """Let a trouble last."""
+async def _stay_faulty(world: HallWorld, seconds: float) -> None:
+    """Keep the world marked as faulty for a time."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     world.trouble()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same examples in each run; tests that KNOWN-RED.txt lists are passed over, aloud."""
+"""Makes Hypothesis deterministic, and skips and reports the tests that KNOWN-RED.txt lists."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 settings.register_profile("steady", derandomize=True, database=None, deadline=None)
 settings.load_profile("steady")
 
-_LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-_FOUND: list[str] = []
+_KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+_SKIPPED_ENTRIES: list[str] = []
 
 
 def _known_red() -> dict[str, list[str]]:
-    """Return what is listed of each test: one may have several entries, each in its own words."""
-    lines = _LIST.read_text().splitlines() if _LIST.exists() else []
+    """Return the entries of each listed test, which may have several."""
+    lines = _KNOWN_RED_FILE.read_text().splitlines() if _KNOWN_RED_FILE.exists() else []
     listed: dict[str, list[str]] = {}
     for line in lines:
         if line.strip() and not line.startswith("#"):
@@ -32,22 +32,24 @@
     if listed and len(listed) < len(items):
         config.hook.pytest_deselected(items=listed)
         items[:] = [item for item in items if item.nodeid not in red]
-        _FOUND.extend(f"{item.nodeid}: {entry}" for item in listed for entry in red[item.nodeid])
+        _SKIPPED_ENTRIES.extend(
+            f"{item.nodeid}: {entry}" for item in listed for entry in red[item.nodeid]
+        )
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
-    """Have a worker of a parallel run tell what it passed over."""
+    """Send the entries of skipped tests from a worker of a parallel run to its controller."""
     if hasattr(session.config, "workeroutput"):
-        session.config.workeroutput["passed_over"] = list(_FOUND)
+        session.config.workeroutput["passed_over"] = list(_SKIPPED_ENTRIES)
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_testnodedown(node: Any) -> None:
-    """Take over what a worker tells; all of them collect the same tests."""
-    told = getattr(node, "workeroutput", {}).get("passed_over", [])
-    _FOUND.extend(line for line in told if line not in _FOUND)
+    """Merge a worker's skipped entries. All workers collect the same tests."""
+    received = getattr(node, "workeroutput", {}).get("passed_over", [])
+    _SKIPPED_ENTRIES.extend(line for line in received if line not in _SKIPPED_ENTRIES)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for line in _FOUND:
+    for line in _SKIPPED_ENTRIES:
         terminalreporter.write_line(f"KNOWN RED, passed over: {line}")
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -1,4 +1,4 @@
-"""Tasks that crash each executor that starts them, and a judge of how often they are started."""
+"""Tasks that crash each executor that starts them, and a check of how often they start."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 from linkspan.shard.messages import TaskName
 
-MOST_CRASHES = 3
-"""Executors that may crash under a task before its starts are counted, by the platform."""
+MAX_CRASHES = 3
+"""Crashes under a task after which the platform limits its starts."""
 
-MOST_STARTS_AFTER = 2
-"""Starts of it after that which the platform bears."""
+MAX_STARTS_AFTER_CRASHES = 2
+"""Starts that the platform allows after these crashes."""
 
 
 @dataclass
 class CrashingTasks:
-    """Which tasks crash their executors, and what came of it.
+    """Tasks that crash their executors, and the crashes counted so far.
 
     Attributes:
-        after_s: Seconds after its begin at which a run of a task crashes its executor.
-        fallen: Executors that crashed under each task.
-        lost_beside: Runs of other tasks that were lost with these executors.
-        under: Executors that crashed, for whatever reason, while a task ran there.
+        after_s: Seconds from the start of a task's run to the crash of its executor.
+        fallen: Number of executors that each task crashed.
+        lost_colocated: Number of colocated runs of other tasks lost in these crashes.
+        under: Number of executors that crashed, for any reason, while the task ran there.
     """
 
     after_s: dict[TaskName, float] = field(default_factory=dict)
     fallen: Counter[TaskName] = field(default_factory=Counter)
-    lost_beside: int = 0
+    lost_colocated: int = 0
     under: Counter[TaskName] = field(default_factory=Counter)
     _starts_after: Counter[TaskName] = field(default_factory=Counter)
 
     def on_start(self, task: TaskName) -> list[str]:
-        """Return what is wrong with a start of a task."""
-        if task not in self.after_s or self.fallen[task] < MOST_CRASHES:
+        """Return the violations of a start of a task, empty if it is allowed."""
+        if task not in self.after_s or self.fallen[task] < MAX_CRASHES:
             return []
         self._starts_after[task] += 1
-        if self._starts_after[task] <= MOST_STARTS_AFTER:
+        if self._starts_after[task] <= MAX_STARTS_AFTER_CRASHES:
             return []
         return [f"BUDGET {task} is started after {self.fallen[task]} executors crashed under it"]
 
-    def on_crash(self, task: TaskName, there: set[TaskName]) -> None:
-        """Count an executor that a task crashes.
+    def on_crash(self, task: TaskName, running: set[TaskName]) -> None:
+        """Count a crash that a task causes.
 
         Args:
-            task: The task.
-            there: All tasks that were there.
+            task: Task that crashes its executor.
+            running: All tasks that ran on the executor.
         """
         self.fallen[task] += 1
-        self.lost_beside += len(there - self.after_s.keys())
+        self.lost_colocated += len(running - self.after_s.keys())
--- a/tests/failed_jobs.py
+++ b/tests/failed_jobs.py
@@ -1,4 +1,4 @@
-"""A judge of one rule: a job that is shown as failed had cause, by what executors listed."""
+"""Checks that a job shown as failed has a cause in the ends that executors listed."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
     from tests.run_judge import RunJudge
     from tests.standins.memory_executor import MemoryExecutor
 
-FALLS_UNDER = 2
-"""Executors that fell while a task ran there, after which the platform lets it be given up."""
+MIN_CRASHES_UNDER_TASK = 2
+"""Crashes under a task after which its owner may give the task up."""
 
 
 class FailedJobs:
-    """Knows which jobs have cause to be shown as failed.
+    """Collects the causes for which a job may be shown as failed.
 
     Args:
-        judge: Knows the jobs, and which executors fell under which tasks.
+        judge: Supplies the jobs and the number of crashes under each task.
     """
 
     def __init__(self, judge: RunJudge) -> None:
         self._judge = judge
         self._listed: defaultdict[TaskName, set[FailedAttempt]] = defaultdict(set)
-        self._found: set[str] = set()
-        self._looked = 0
+        self._reported: set[str] = set()
+        self._entries_read = 0
 
     def on_listed(self, executor: MemoryExecutor, end: EndedTask) -> None:
-        """Take in an end that an executor lists; it may have listed it before."""
+        """Record an end that an executor lists, possibly again."""
         if end.kind is not EndKind.FAILED:
             return
         step = self._judge.step_of(end.task)
@@ -46,25 +46,27 @@
             self._listed[unit_of(end.task, step)].add(failed)
 
     def on_shown(self, job_id: str, where: str) -> list[str]:
-        """Return what is wrong with a job that is shown as failed, once for each job."""
-        if job_id in self._found or self._has_cause(job_id):
+        """Return the violation of a job shown as failed without cause, once for each job."""
+        if job_id in self._reported or self._has_cause(job_id):
             return []
-        self._found.add(job_id)
+        self._reported.add(job_id)
         listed = {
             f"{t.repetition}.{t.step}.{t.index}": sorted(failed)
             for t, failed in self._listed.items()
             if t.job_id == job_id
         }
-        fallen = max(self._falls(job_id), default=0)
+        crash_count = max(self._crash_counts(job_id), default=0)
         return [
             f"LOST {job_id} is failed {where}, without cause:"
-            f" failed runs {listed}, at most {fallen} executors fell under a task"
+            f" failed runs {listed}, at most {crash_count} executors crashed under a task"
         ]
 
-    def look(self, entries: Sequence[Entry]) -> list[str]:
-        """Return what is wrong with new records of ends among those of jobs."""
-        new, self._looked = entries[self._looked :], len(entries)
-        failed = [entry for entry in new if entry.key.startswith(b"f:") and _tells_failed(entry)]
+    def judge_records(self, entries: Sequence[Entry]) -> list[str]:
+        """Return the violations in the job records written since the last call."""
+        new, self._entries_read = entries[self._entries_read :], len(entries)
+        failed = [
+            entry for entry in new if entry.key.startswith(b"f:") and _is_failure_record(entry)
+        ]
         return [
             line
             for entry in failed
@@ -74,14 +76,14 @@
     def _has_cause(self, job_id: str) -> bool:
         most = self._judge.queue.max_attempts
         used_up = any(t.job_id == job_id and len(f) >= most for t, f in self._listed.items())
-        return used_up or max(self._falls(job_id), default=0) >= FALLS_UNDER
+        return used_up or max(self._crash_counts(job_id), default=0) >= MIN_CRASHES_UNDER_TASK
 
-    def _falls(self, job_id: str) -> list[int]:
+    def _crash_counts(self, job_id: str) -> list[int]:
         under = self._judge.crashing.under
-        return [fallen for task, fallen in under.items() if task.job_id == job_id]
+        return [count for task, count in under.items() if task.job_id == job_id]
 
 
-def _tells_failed(entry: Entry) -> bool:
+def _is_failure_record(entry: Entry) -> bool:
     if not entry.value:
         return False
     try:
--- a/tests/hall_callers.py
+++ b/tests/hall_callers.py
@@ -1,4 +1,4 @@
-"""The callers of one deployment in virtual time."""
+"""Callers of a deployment in virtual time."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @dataclass
 class HallCallers(RunJudge):
-    """Callers that submit, ask and cancel at hosts by name.
+    """Callers that submit, query and cancel jobs at named hosts.
 
     Attributes:
-        hosts: The hosts that run.
-        accepted: Jobs that were accepted.
+        hosts: Running hosts by name.
+        accepted: Ids of accepted jobs.
     """
 
     hosts: dict[str, RunningHost] = field(default_factory=dict, init=False)
@@ -40,7 +40,7 @@
         self.specs[spec.job_id] = spec
 
         async def serve(front: Front) -> web.Response:
-            # A host that stood still reads what came in meanwhile, also late.
+            # A host reads the requests that arrived during a freeze after it, with a later clock.
             deadline = world_time() + patience_s
             return await front.submit(self.queue, spec.job_id, job_body(spec), deadline)
 
@@ -52,7 +52,7 @@
         return answer.status
 
     async def ask(self, name: str, job_id: str, *, patience_s: float = 3.0) -> str:
-        """Return a job's state as a caller sees it, empty if no answer came in time."""
+        """Return the job state that a caller receives, empty if no answer came in time."""
         answer = await self._call(name, lambda front: front.show(job_id), patience_s)
         return self._shown(name, job_id, state_of(answer)) if answer else ""
 
@@ -62,7 +62,7 @@
         serve: Callable[[Front], Coroutine[Any, Any, web.Response]],
         patience_s: float,
     ) -> web.Response | None:
-        """Have a host's process serve a call, and return its answer if it came in time."""
+        """Serve a call in a host's process and return the answer if it came in time."""
         running = self.hosts[name]
         loop = asyncio.get_running_loop()
         serving = loop.create_task(serve(running.host.front), context=running.context)
@@ -86,7 +86,7 @@
         return self._shown(name, job_id, state_of(answer))
 
     def _shown(self, name: str, job_id: str, state: str) -> str:
-        """Return a state that a caller is shown, and judge it."""
+        """Judge a state that a caller receives, and return it."""
         if state == JobState.FAILED.value:
             self.judge_failed(job_id, f"at {name}")
         return state
--- a/tests/hall_executors.py
+++ b/tests/hall_executors.py
@@ -1,4 +1,4 @@
-"""The executors of one deployment in virtual time: entries, links, and how runs go."""
+"""Executors of a deployment in virtual time: entries, links, crashes and run outcomes."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 HEARTBEAT_S = 1.5
 
 ENTRY_GOES_S = 3 * HEARTBEAT_S
-"""Silence after which an executor's entry goes."""
+"""Time without a heartbeat after which the platform removes an executor's entry."""
 
-FIRST_BIRTH_MS = 1_700_000_000_000
+WORLD_START_MS = 1_700_000_000_000
 """Time of day, in milliseconds, at which the world begins."""
 
 
 @dataclass
 class HallExecutors(RunJudge):
-    """Executors that begin, crash, leave, and are cut from hosts.
+    """Executors that start, crash, leave, and are cut off from hosts.
 
     Attributes:
-        resets: Whether a crash resets the executor's connections, and calls to its address are
-            refused, so that it is found at once and not after a time-out.
-        crash_back_s: Seconds after which an executor is back that a task crashed.
-        entry_after_s: Seconds after which an executor that started again tells of its next life.
-        late_to_next_life: Whether an order that is carried out late is carried out by the life that
-            has the executor's id by then, and not only by the one that it was sent to.
-        shrunk_counts_s: Seconds after which starts are judged by a room that shrank.
+        resets: Whether a crash resets the executor's connections and later calls to its address
+            are refused, so that hosts detect the crash at once and not after a timeout.
+        crash_back_s: Seconds after which an executor restarts that a task crashed.
+        entry_after_s: Seconds from a restart until the next incarnation writes its entry.
+        late_to_next_life: Whether an order that arrives late is carried out by the incarnation
+            that has the executor's id then, and not only by the addressed one.
+        shrunk_counts_s: Seconds after which starts are judged by a reduced capacity.
     """
 
     seed: int = 0
@@ -64,27 +64,27 @@
         self.one_hall = OneHall(self.store)
         self.cuts: set[tuple[str, str]] = set()
         self.late_starts: Counter[StartOutcome] = Counter()
-        self._lives = 0
+        self._incarnations = 0
         self._assembled: set[tuple[TaskName, int]] = set()
 
-    def next_life(self) -> int:
-        """Return the number of the next process, an executor's or a host's."""
-        self._lives += 1
-        return self._lives
+    def next_incarnation(self) -> int:
+        """Return the number of the next incarnation of an executor or a host."""
+        self._incarnations += 1
+        return self._incarnations
 
     def add_executor(
         self, hall: str, address: str, *, executor_id: str = "", clock_s: float | None = None
     ) -> MemoryExecutor:
-        """Begin an executor.
+        """Start an executor.
 
         Args:
-            hall: Its hall.
-            address: Where it takes orders.
-            executor_id: Id of an executor before it that it has again; by default a new one.
-            clock_s: What its clock shows at first; by default the time since the world began.
+            hall: Hall of the executor.
+            address: Address at which it receives orders.
+            executor_id: Id of a previous incarnation to reuse. By default a new id.
+            clock_s: Initial reading of its clock. By default the time since the world's start.
         """
         record = ExecutorRecord(
-            executor_id or f"life-{self.next_life()}",
+            executor_id or f"life-{self.next_incarnation()}",
             "pool",
             address,
             hall,
@@ -98,18 +98,20 @@
             self,
             record,
             slow_clock=slow_clock,
-            started_at_ms=FIRST_BIRTH_MS + int(now * 1000),
+            started_at_ms=WORLD_START_MS + int(now * 1000),
             clock_ahead_s=0.0 if clock_s is None else clock_s - now * slow_clock,
         )
         self.executors[address] = executor
         if executor_id and self.entry_after_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.entry_after_s, self._tell, executor, context=Context())
+            loop.call_later(
+                self.entry_after_s, self._register_if_alive, executor, context=Context()
+            )
         else:
             self.register(executor)
         return executor
 
-    def _tell(self, executor: MemoryExecutor) -> None:
+    def _register_if_alive(self, executor: MemoryExecutor) -> None:
         if executor.alive:
             self.register(executor)
 
@@ -141,22 +143,22 @@
         return {**fields, **changes}
 
     def enter(self, executor_id: str, entry: bytes) -> None:
-        """Write an executor's entry, whoever it comes from."""
+        """Write an executor's entry, of any content."""
         self.enter_under(executor_id.encode(), entry)
 
     def enter_under(self, key: bytes, entry: bytes) -> None:
-        """Write an entry under a key that may be no executor's id."""
+        """Write an entry under any key, also one that is not an executor id."""
         self.store.put(EXECUTORS, key, entry)
 
     def resize(self, address: str, milli_cpu: int, memory_mb: int = 32_000) -> None:
-        """Let an executor's room shrink or grow while it runs, as its entry then tells."""
+        """Change the capacity of a running executor and publish it in its entry."""
         executor = self.executors[address]
-        known_by = executor.now + self.shrunk_counts_s
-        executor.resize(Demand(milli_cpu, memory_mb), known_by=known_by)
+        enforced_from = executor.now + self.shrunk_counts_s
+        executor.resize(Demand(milli_cpu, memory_mb), enforced_from=enforced_from)
         self.register(executor)
 
     def forget_registration(self, executor: MemoryExecutor) -> None:
-        """Drop an executor's entry while it serves on."""
+        """Remove an executor's entry while the executor continues to run."""
         self.store.put(EXECUTORS, executor.record.executor_id.encode(), b"")
 
     async def beat(self) -> None:
@@ -175,23 +177,23 @@
     def restart_executor(
         self, address: str, *, down_s: float = 0.5, clock_s: float | None = 0.0
     ) -> None:
-        """Let an executor fall and start again under its id, with all counts anew.
+        """Crash an executor and restart it under the same id with all counters reset.
 
         Args:
-            address: Where it is.
-            down_s: Time for which it is away. Its entry stays unless that is long.
-            clock_s: What its clock shows then; ``None`` for one that went on.
+            address: Address of the executor.
+            down_s: Time until the restart. The entry stays if this is below ``ENTRY_GOES_S``.
+            clock_s: Clock reading after the restart. ``None`` for a clock that kept running.
         """
         executor = self.executors[address]
         self._fall(executor)
         if down_s >= ENTRY_GOES_S:
             self.forget_registration(executor)
         loop = asyncio.get_running_loop()
-        loop.call_later(down_s, self._start_again, executor, clock_s, context=Context())
+        loop.call_later(down_s, self._restart_crashed, executor, clock_s, context=Context())
 
-    def _start_again(self, fallen: MemoryExecutor, clock_s: float | None) -> None:
-        record = fallen.record
-        if self.executors[record.address] is fallen:
+    def _restart_crashed(self, crashed: MemoryExecutor, clock_s: float | None) -> None:
+        record = crashed.record
+        if self.executors[record.address] is crashed:
             self.add_executor(
                 record.hall, record.address, executor_id=record.executor_id, clock_s=clock_s
             )
@@ -205,7 +207,7 @@
             executor.changed.set()
 
     def assembled(self, member: TaskName, run: int) -> bool:
-        """Whether all members of a gang's run were there at once, now or before."""
+        """Whether all members of a gang's run have run at the same time, now or before."""
         gang = member._replace(index=0), run
         if gang not in self._assembled:
             present = {
@@ -220,23 +222,23 @@
         return gang in self._assembled
 
     def may_end(self, task: TaskName, run: int) -> bool:
-        """Whether a run works: a member of a gang does once all of them are there."""
+        """Whether a run may finish: a gang member only after all members ran together."""
         return not self.step_of(task).gang or self.assembled(task, run)
 
-    def _break_gangs(self, fallen: MemoryExecutor) -> None:
-        """End the other members of the gangs that lost one with an executor."""
-        members = [r for r in fallen.running.values() if self.step_of(r.task).gang]
+    def _break_gangs(self, crashed: MemoryExecutor) -> None:
+        """End the remaining members of gangs that lost a member in an executor's crash."""
+        members = [r for r in crashed.running.values() if self.step_of(r.task).gang]
         for other in self.executors.values():
             for member in members if other.alive else ():
                 other.break_member(member.task, member.run)
 
     def crash_after_start(self, executor: MemoryExecutor, task: TaskName, run: int) -> None:
-        """Let an executor fall some time after the begin of a run, if its task does that."""
+        """Schedule the executor's crash after a start of a task that crashes executors."""
         after_s = self.crashing.after_s.get(task)
         if after_s is None:
             return
         loop = asyncio.get_running_loop()
-        # Whatever becomes of the host that ordered it.
+        # An empty context: the crash happens even if the host that sent the order stops.
         loop.call_later(after_s, self._crash_under, executor, task, run, context=Context())
 
     def _crash_under(self, executor: MemoryExecutor, task: TaskName, run: int) -> None:
@@ -254,7 +256,7 @@
             self.add_executor(hall, address)
 
     async def machines(self) -> MachineList:
-        """Answer as the machine service."""
+        """Return the machine list as the platform's machine service does."""
         await asyncio.sleep(0.005)
         return tuple(
             MachineRecord(address, "pool", MachineState.UP, e.record.executor_id)
@@ -262,7 +264,7 @@
             if e.alive
         )
 
-    # What executors and their links ask
+    # Callbacks of executors and their links
 
     def at(self, address: str) -> MemoryExecutor | None:
         return self.executors.get(address)
@@ -279,7 +281,7 @@
         return 1e6 if step.standing else step.estimate_s * (0.8 + 0.4 * self.random.random())
 
     def figure(self, task: TaskName) -> float | None:
-        """Return what executors tell of a run's latency or use, nothing here."""
+        """Return the latency or usage that executors report of a run; here always none."""
         return None
 
     def fails(self, task: TaskName, run: int) -> bool:
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -1,6 +1,6 @@
-"""Hosts, executors and a store of one deployment in virtual time, with a judge.
+"""A deployment of hosts, executors and a store in virtual time, with a judge of its runs.
 
-Everything of the product runs but its sockets; the judge sees what executors see.
+The hosts run the complete product except for its sockets. The judge observes the executors.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass
 class HallWorld(HallCallers, HallExecutors):
-    """A deployment and what went wrong in it."""
+    """A deployment and the promises that it broke."""
 
     halls: tuple[str, ...] = ("east",)
     hosts_per_hall: int = 2
@@ -47,17 +47,17 @@
 
     @property
     def problems(self) -> list[str]:
-        """Promises broken, and errors that the product did not expect."""
+        """Broken promises, and errors that the product did not handle."""
         self.look_at_records()
         crashes = [f"CRASHED {fields}" for fields in self.log.named("CRASHED")]
         return self.violations + crashes
 
     def look_at_records(self) -> None:
-        """Judge the final states that are on record since the last look."""
-        self.violations += self.failed_jobs.look(self.store.log(JOBS).entries)
+        """Judge the final job states written to the store since the last call."""
+        self.violations += self.failed_jobs.judge_records(self.store.log(JOBS).entries)
 
     async def begin(self) -> None:
-        """Start executors and hosts and let them settle."""
+        """Start executors and hosts, and wait 2 s for the hosts to claim their shards."""
         configuration = Configuration(3, {self.queue.name: self.queue}, {"pool": Service("pool")})
         self.configuration = configuration
         self.publish()
@@ -71,7 +71,7 @@
         await asyncio.sleep(2.0)
 
     def publish(self) -> None:
-        """Write the configuration as the operator does."""
+        """Write the operator's configuration record."""
         version = str(self.configuration.version).encode()
         self.store.put(CONFIGURATION, b"config", version)
 
@@ -79,7 +79,7 @@
         return [(f"{h}-host-{i}", h) for h in self.halls for i in range(self.hosts_per_hall)]
 
     def start_host(self, name: str) -> RunningHost:
-        life = self.next_life()
+        incarnation = self.next_incarnation()
         hall = dict(self.host_names())[name]
         settings = HostSettings(
             name, hall, self.halls, "", "", StoreLimits(""), bounds=self.bounds()
@@ -99,13 +99,13 @@
         host = Host(
             settings,
             adapter,
-            incarnation=f"life-{life}",
+            incarnation=f"life-{incarnation}",
             log=self.log,
             metrics=HostMetrics(),
             loaded_s=self.loaded_s.get(name, 0.0),
         )
         context = copy_context()
-        context.run(HOST.set, f"{name} {life}")
+        context.run(HOST.set, f"{name} {incarnation}")
         loop = asyncio.get_running_loop()
         running = RunningHost(host, loop.create_task(host.run(), context=context), context)
         self.hosts[name] = running
@@ -115,47 +115,47 @@
         return Bounds(max_lease_s=self.max_lease_s)
 
     def store_link(self, host: str) -> Store:
-        """Return a host's way to the store."""
+        """Return a host's link to the store."""
         return StoreLink(self.store, host)
 
     def link(self, host: str, token: int) -> Executors:
-        """Return a tenure's way to all executors."""
+        """Return the link of a host's tenure to all executors."""
         return ExecutorLink(self, host, token)
 
     def kill_host(self, name: str) -> None:
         self.hosts.pop(name).task.cancel()
 
     def freeze_host(self, name: str) -> None:
-        """Let a host stand still, as a stopped process does; what it asked for goes on."""
+        """Freeze a host like a stopped process. Its pending calls to others proceed."""
         virtual_loop().freeze(self.hosts[name].process)
         self.troubled_until = float("inf")
 
     def suspend_host(self, name: str) -> None:
-        """Suspend a host's machine: unlike a freeze, its steady clock and timers stand, too."""
+        """Suspend a host's machine: this stops its steady clock and timers, too."""
         virtual_loop().suspend(self.hosts[name].process)
         self.troubled_until = float("inf")
 
     def resume(self, running: RunningHost) -> None:
-        """Let a machine that was suspended go on."""
+        """Resume a suspended machine."""
         self.trouble()
         if running in self.hosts.values():
             virtual_loop().resume(running.process)
 
     def thaw(self, running: RunningHost) -> None:
-        """Let a process that stood still go on with all that came due meanwhile."""
+        """End the freeze of a process. It runs all callbacks that came due during the freeze."""
         self.trouble()
         if running in self.hosts.values():
             virtual_loop().thaw(running.process)
 
     async def remove_host(self, name: str) -> None:
-        """Stop a host as planned; it does not come back."""
+        """Drain and stop a host for good."""
         running = self.hosts[name]
         await running.host.drain(notice_s=0.2, limit_s=3.0)
         if self.hosts.get(name) is running:
             self.kill_host(name)
 
     def cuts_around(self, hall: str) -> set[tuple[str, str]]:
-        """Return the pairs of host and executor that a cut around a hall separates."""
+        """Return the pairs of host and executor that the isolation of a hall separates."""
         return {
             (name, address)
             for name, own in self.host_names()
@@ -164,7 +164,7 @@
         }
 
     def owner(self, shard: int = 0) -> str | None:
-        """Return the host that runs a shard at present."""
+        """Return the host that currently owns a shard."""
         for name, running in self.hosts.items():
             if running.host.candidates[shard].tenure:
                 return name
--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -1,4 +1,4 @@
-"""Builders of jobs, as callers send them and as hosts keep them."""
+"""Builders of jobs, as specs and as the request bodies that callers send."""
 
 from __future__ import annotations
 
@@ -58,5 +58,5 @@
 
 
 def step(count: int = 1, *, cpu: int = 1_000, estimate_s: float = 1.0, **fields: Any) -> StepSpec:
-    """Return a step for tests."""
+    """Return a step with 100 MB of memory for each task."""
     return StepSpec(count=count, demand=Demand(cpu, 100), estimate_s=estimate_s, **fields)
--- a/tests/kept_lines.py
+++ b/tests/kept_lines.py
@@ -1,4 +1,4 @@
-"""A log that keeps its lines, in place of one that prints them."""
+"""An event log that keeps its lines in memory."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Lines:
-    """Log that keeps what is written."""
+    """Event log that keeps each event with its time and the host that wrote it."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[float, str, dict[str, Any]]] = []
@@ -25,7 +25,7 @@
         return [fields for _, event, fields in self.lines if event == name]
 
     def as_log(self) -> list[bytes]:
-        """Return the lines as a host's log has them, each with the host that wrote it."""
+        """Return the events as log lines, each with the host that wrote it."""
         return [
             json.dumps(
                 {
--- a/tests/lapses.py
+++ b/tests/lapses.py
@@ -1,4 +1,4 @@
-"""A judge that knows that a lapse before an end is taken note of excuses a second start."""
+"""A judge that allows a second start if a lease expired before an end was acknowledged."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 @dataclass
 class LapsingWorld(HallWorld):
-    """A deployment in which executors are cut off for longer than their leases last.
+    """A deployment in which executors are cut off for longer than their leases.
 
     Attributes:
-        excused: Starts between an end and its acknowledgement, where the executor's lease lapsed
-            in between: the end may have been waited out. Starts after that are judged as ever.
+        excused: Violations by starts between an end and its acknowledgement that are allowed:
+            the executor's lease expired in between, so that the owner may have started the task
+            again without the answer. Starts after the acknowledgement are judged as usual.
     """
 
     excused: list[str] = field(default_factory=list)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,6 +1,6 @@
-"""Takes out one rule at a time: ``python -m tests.mutations`` prints what notices.
+"""Removes one rule at a time and prints which tests fail: ``python -m tests.mutations``.
 
-The table in docs/PROOFS.md is this program's output.
+The table in docs/PROOFS.md is the output of this program.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Mutation(NamedTuple):
-    """A rule, how to take it out, and the machine that should notice."""
+    """A rule, the replacement that removes it, and the state machine that should fail."""
 
     rule: str
     target: Any
@@ -42,15 +42,15 @@
     machine: Any = HallMachine
 
 
-_START = FakeWorker._start
-_HEARD = ShareTable.heard
+_ORIGINAL_START = FakeWorker._start
+_ORIGINAL_HEARD = ShareTable.heard
 
 
-def _lapse_at_once(self: LeaseExpiryProof, ledger: Ledger, recalled: int) -> float:
+def _expire_at_once(self: LeaseExpiryProof, ledger: Ledger, recalled: int) -> float:
     return self._first_seen.get(recalled, float("inf"))
 
 
-def _lapse_after_lease(self: LeaseExpiryProof, ledger: Ledger, recalled: int) -> float:
+def _expire_after_lease(self: LeaseExpiryProof, ledger: Ledger, recalled: int) -> float:
     return self._first_seen.get(recalled, float("inf")) + self._timing.lease_bound_s
 
 
@@ -86,7 +86,7 @@
     if start.run not in self.runs:
         self.highest.pop(start.run.task, None)
         self.closed.pop(start.run, None)
-    _START(self, start, lease_until, clock)
+    _ORIGINAL_START(self, start, lease_until, clock)
 
 
 def _renew_always(self: SchedulerCore, now: float) -> bool:
@@ -118,7 +118,7 @@
 
 
 def _confirm_at_once(self: ShareTable, *, fits: bool) -> dict[str, int]:
-    return _HEARD(self, fits=True)
+    return _ORIGINAL_HEARD(self, fits=True)
 
 
 def _adopt_any(self: ConfigStore, state: ConfigState) -> bool:
@@ -129,12 +129,12 @@
 MUTATIONS = [
     Mutation("no rule taken out", Ledger, "__repr__", Ledger.__repr__),
     Mutation("a recalled attempt waits for its proof", Ledger, "_recall", _requeue_recalled),
-    Mutation("the proof waits at all", LeaseExpiryProof, "expires_at", _lapse_at_once),
+    Mutation("the proof waits at all", LeaseExpiryProof, "expires_at", _expire_at_once),
     Mutation(
         "the proof waits for schedulers that do not confirm",
         LeaseExpiryProof,
         "expires_at",
-        _lapse_after_lease,
+        _expire_after_lease,
     ),
     Mutation("renewing ends without the log's end", SchedulerCore, "may_renew", _renew_always),
     Mutation("a recalled attempt is not renewed", WorkerOrders, "_is_wanted", _all_wanted),
@@ -212,7 +212,7 @@
 
 
 def _directed() -> str:
-    """Return which of the directed tests fail."""
+    """Return which directed tests fail."""
     tests = [
         (name, test)
         for module in (test_core, test_ledger, test_store)
@@ -235,7 +235,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table row for each mutation whose rule contains an argument, by default for all."""
     chosen = sys.argv[1:]
     print("| rule taken out | machine | directed tests |")
     print("| --- | --- | --- |")
--- a/tests/one_hall.py
+++ b/tests/one_hall.py
@@ -1,4 +1,4 @@
-"""A judge of one rule: each job has one hall, for every host and whenever it started."""
+"""Checks that all hosts agree on the hall of each job, whenever they started."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class OneHall:
-    """Compares the views of the jobs, and the halls of first runs.
+    """Compares several readers' views of the jobs, and the halls of first runs.
 
     Args:
-        store: Holds the job records.
+        store: Store with the job records.
     """
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
         self._in_order = JobCatalog()
-        self._read = 0
+        self._entries_read = 0
         self._disputed: set[str] = set()
         self._first_runs: defaultdict[str, list[MemoryExecutor]] = defaultdict(list)
 
     def on_start(self, executor: MemoryExecutor, order: StartOrder) -> list[str]:
-        """Return what is wrong with a start: a first run in a second hall.
+        """Return the violation of a first run in a second hall, empty if there is none.
 
-        A run that its executor took along when it crashed leaves nothing to be known by,
-        and a standing task may be lent before its first run.
+        Runs on crashed executors do not count, since they leave no trace that an owner could
+        find. Standing tasks do not count, since they may be delegated before their first run.
         """
         if order.run > 1 or executor.world.step_of(order.task).standing:
             return []
@@ -44,20 +44,24 @@
         halls = {other.record.hall for other in others if other.alive}
         return [f"ELSEWHERE {order.task} begins at run 1 again"] if len(halls) > 1 else []
 
-    def compare(self, books: Iterable[tuple[str, JobRegistry]]) -> list[str]:
-        """Return the jobs on whose hall two readers differ, each of them once.
+    def compare(self, registries: Iterable[tuple[str, JobRegistry]]) -> list[str]:
+        """Return the jobs on whose hall two readers disagree, each job once.
 
-        Compared are a reader of all records in order, one that lists the newest of each
-        key now, and the hosts that have read to the end.
+        Compares a reader of all records in order, a reader of a snapshot of the keys, and the
+        job registries of the hosts that have read to the end.
         """
         entries = self._store.log(JOBS).entries
-        _fold(self._in_order, entries[self._read :])
-        self._read = len(entries)
-        listed = JobCatalog()
+        _fold(self._in_order, entries[self._entries_read :])
+        self._entries_read = len(entries)
+        snapshot = JobCatalog()
         newest = {entry.key: entry for entry in entries}
-        _fold(listed, sorted(entry for entry in newest.values() if entry.value))
-        views = [("a listing", listed)]
-        views += [(name, b.catalog) for name, b in books if b.follower.offset == len(entries)]
+        _fold(snapshot, sorted(entry for entry in newest.values() if entry.value))
+        views = [("a snapshot of the keys", snapshot)]
+        views += [
+            (name, registry.catalog)
+            for name, registry in registries
+            if registry.follower.offset == len(entries)
+        ]
         return [line for name, view in views for line in self._differences(name, view)]
 
     def _differences(self, name: str, view: JobCatalog) -> list[str]:
--- a/tests/part_world.py
+++ b/tests/part_world.py
@@ -1,4 +1,4 @@
-"""A world whose store is away in part: topics that some hosts are turned away from."""
+"""A deployment whose store refuses the calls of some hosts for some topics."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PartLink(StoreLink):
-    """A host's way to a store of which parts are away."""
+    """A host's link to a store that refuses the host's calls for some topics."""
 
     def __init__(self, store: MemoryStore, host: str, away: set[tuple[str, str]]) -> None:
         super().__init__(store, host)
@@ -26,36 +26,36 @@
         at: int | None = None,
         producer: Producer | None = None,
     ) -> Appended:
-        await self._find(partition)
+        await self._check_available(partition)
         return await super().append(partition, records, at=at, producer=producer)
 
     async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
-        await self._find(partition)
+        await self._check_available(partition)
         page = await super().read(partition, start, wait_s=wait_s)
-        await self._find(partition)
+        await self._check_available(partition)
         return page
 
     async def end(self, partition: Partition, start: int) -> int:
-        await self._find(partition)
+        await self._check_available(partition)
         return await super().end(partition, start)
 
     async def newest_records_page(
         self, partition: Partition, *, after: bytes | None = None
     ) -> KeyPage:
-        await self._find(partition)
+        await self._check_available(partition)
         return await super().newest_records_page(partition, after=after)
 
-    async def _find(self, partition: Partition) -> None:
+    async def _check_available(self, partition: Partition) -> None:
         if (self._host, partition.topic) in self._away:
             raise StoreRefused(503)
 
 
 @dataclass
 class PartWorld(WideWorld):
-    """A deployment whose store is away in part.
+    """A deployment whose store is unavailable in part.
 
     Attributes:
-        away: Pairs of host and topic.
+        away: Pairs of host and topic whose calls the store refuses.
     """
 
     away: set[tuple[str, str]] = field(default_factory=set)
--- a/tests/run_judge.py
+++ b/tests/run_judge.py
@@ -1,4 +1,4 @@
-"""A judge of runs: what executors are told and tell, against what callers asked for."""
+"""Checks the orders and reports of executors against the requests of callers."""
 
 from __future__ import annotations
 
@@ -21,39 +21,39 @@
     from tests.standins.memory_executor import MemoryExecutor
 
 CONTACT_S = 3.0
-"""The platform's `contactMs`: how long a trouble excuses what comes after it."""
+"""The platform's `contactMs`: time after a fault in which its consequences are allowed."""
 
 CANCEL_S = 3.0
-"""The platform's `cancel_ms`: time from a cancel's answer to the last start."""
+"""The platform's `cancel_ms`: time after a cancel's answer in which starts are allowed."""
 
 STOP_S = 0.9
-"""The platform's `stop_ms`: longest time that a stop takes."""
+"""The platform's `stop_ms`: maximum duration of a stop."""
 
 CANCEL_CHECK_S = 0.1
-"""Time between looks for work of cancelled jobs."""
+"""Interval between searches for running tasks of cancelled jobs."""
 
 
 @dataclass
 class RunJudge:
-    """Keeps what was asked for and done, and what of it broke a promise.
+    """Records requests and runs, and the promises that were broken.
 
     Attributes:
-        violations: Promises that were broken.
-        queue: What jobs are sent to, as it was configured when they were accepted.
-        specs: Jobs that were sent.
-        cancelled: When cancels of jobs were answered.
-        troubled_until: When the last trouble ended.
-        done: Tasks of which a run ended as done.
-        done_acknowledged: Those whose end an owner took note of.
-        done_runs_at: When a run ended as done, by an executor's life, task and number: a new owner
-            that knows of none may begin with the same number on another executor.
-        failed: Runs that ended as failed and were taken note of, by task.
-        starts: When runs of a task began.
-        executors: The executors, by address.
-        one_hall: Judges in which hall first runs begin.
-        crashing: Judges starts of tasks that crash their executors.
-        budget: Judges starts of tasks that failed as often as they may.
-        failed_jobs: Judges which jobs are shown as failed.
+        violations: Broken promises.
+        queue: Queue of the jobs, as configured when they were accepted.
+        specs: Submitted jobs by id.
+        cancelled: Time at which a job's cancel was answered, by job id.
+        troubled_until: Time at which the last fault ended.
+        done: Tasks with a run that ended as done.
+        done_acknowledged: Tasks whose end as done an owner acknowledged.
+        done_runs_at: Time at which a run ended as done, by executor incarnation, task and run
+            number: a new owner that knows of no run may use the same number on another executor.
+        failed: Number of acknowledged failed runs of each task.
+        starts: Times at which runs of each task started.
+        executors: Executors by address.
+        one_hall: Checks the hall of first runs.
+        crashing: Checks starts of tasks that crash their executors.
+        budget: Checks starts of tasks that reached the limit of failed runs.
+        failed_jobs: Checks that jobs shown as failed have a cause.
     """
 
     violations: list[str] = field(default_factory=list, kw_only=True)
@@ -80,7 +80,7 @@
         self.failed_jobs = FailedJobs(self)
 
     def trouble(self) -> None:
-        """Note that something other than cancels, late orders and removals is going on."""
+        """Record that a fault other than a cancel, a late order or a removal is present."""
         self.troubled_until = world_time()
 
     def step_of(self, task: TaskName) -> StepSpec:
@@ -109,29 +109,32 @@
         self.violations += [f"{now:.2f} {line}" for line in self.budget.on_start(task)]
 
     def judge_start_of_cancelled(self, task: TaskName) -> None:
-        """Judge a start that was carried out when it was ordered."""
+        """Judge a start that was carried out without delay, in case its job was cancelled."""
         now = world_time()
         if now > self._cancel_counts_from(task.job_id) + CANCEL_S:
             self.violations.append(f"{now:.2f} UNASKED {task} was started after its cancel")
 
     async def check_cancelled(self) -> None:
-        """Find tasks that run on after their job was cancelled, whoever started them."""
+        """Find tasks that continue to run after their job was cancelled."""
         while True:
             await asyncio.sleep(CANCEL_CHECK_S)
             now = world_time()
             for executor in self.executors.values():
                 executor.advance()
                 for run in executor.running.values() if executor.alive else ():
-                    if now > self._gone_by(run.task, run.began) and run.task not in self._overdue:
+                    if (
+                        now > self._must_end_by(run.task, run.began)
+                        and run.task not in self._overdue
+                    ):
                         self._overdue.add(run.task)
                         self.violations.append(f"{now:.2f} UNASKED {run.task} runs on")
 
-    def _gone_by(self, task: TaskName, began: float) -> float:
-        """Return when a task must be gone: its start may have been carried out late."""
+    def _must_end_by(self, task: TaskName, began: float) -> float:
+        """Return the time by which a task must have ended; its start may have arrived late."""
         return max(self._cancel_counts_from(task.job_id) + CANCEL_S, began + CONTACT_S) + STOP_S
 
     def _cancel_counts_from(self, job_id: str) -> float:
-        """Return when a job was cancelled, or when troubles were over long enough."""
+        """Return the cancel's time, or ``CONTACT_S`` after the last fault if that is later."""
         cancelled = self.cancelled.get(job_id, float("inf"))
         return max(cancelled, self.troubled_until + CONTACT_S)
 
@@ -144,19 +147,19 @@
             self.budget.on_failed(executor, task, run)
 
     def judge_listed(self, executor: MemoryExecutor, ends: list[EndedTask]) -> None:
-        """Take in what an executor tells; what was shown before was shown without it."""
+        """Record the ends that an executor lists, after judging the states shown before."""
         if any(end.kind is EndKind.FAILED for end in ends):
             self.look_at_records()
         for end in ends:
             self.failed_jobs.on_listed(executor, end)
 
     def judge_failed(self, job_id: str, where: str) -> None:
-        """Judge that a job is shown as failed."""
+        """Judge a job that is shown as failed."""
         now = world_time()
         self.violations += [f"{now:.2f} {li}" for li in self.failed_jobs.on_shown(job_id, where)]
 
     def look_at_records(self) -> None:
-        """Judge what new records tell, where there are any to be seen."""
+        """Judge new job records. Worlds with a store override this."""
 
     def judge_acknowledged(self, executor: MemoryExecutor, end: EndedTask) -> None:
         if end.kind is EndKind.DONE:
--- a/tests/running_host.py
+++ b/tests/running_host.py
@@ -12,7 +12,7 @@
 
 @dataclass
 class RunningHost:
-    """A host's process."""
+    """One incarnation of a host: its object, its main task and its context."""
 
     host: Host
     task: asyncio.Task[None]
@@ -20,5 +20,5 @@
 
     @property
     def process(self) -> str:
-        """Name of the process: the host's and its life's."""
+        """Name of the process: the host's name and the number of its incarnation."""
         return self.context[HOST]
--- a/tests/standins/memory_executor.py
+++ b/tests/standins/memory_executor.py
@@ -1,4 +1,4 @@
-"""An executor in memory that obeys fencing tokens and leases and judges its orders."""
+"""An executor in memory that enforces fencing tokens and leases, and has its orders judged."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 TIMEOUT_S = 1.0
 STOP_S = 0.3
 
-GANG_S = 3.0
-"""Time for which a member of a gang waits for the others, the platform's `gang_ms`."""
+GANG_TIMEOUT_S = 3.0
+"""The platform's `gang_ms`: time for which a gang member waits for the other members."""
 
 
 @dataclass
@@ -51,14 +51,14 @@
 
 @dataclass
 class MemoryExecutor:
-    """One incarnation.
+    """One incarnation of an executor.
 
     Attributes:
-        record: What it says of itself, under the id that it shares with lives before it.
-        slow_clock: Speed of its clock.
-        started_at_ms: When it started, in milliseconds since 1970.
-        clock_ahead_s: What its clock shows beside the time since the world began.
-        lapsed_at: Time until which the last lease lasted that a later order found lapsed.
+        record: Its registration, with an id that previous incarnations may share.
+        slow_clock: Rate of its clock.
+        started_at_ms: Start time in milliseconds since 1970.
+        clock_ahead_s: Offset of its clock from the time since the world's start.
+        lapsed_at: Expiry time of the last lease that had expired when a later order arrived.
     """
 
     world: HallExecutors
@@ -75,7 +75,7 @@
     refused_below: dict[TaskName, int] = field(default_factory=dict)
     ended: list[EndedTask] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    rooms_before: list[tuple[Demand, float]] = field(default_factory=list)
+    previous_capacities: list[tuple[Demand, float]] = field(default_factory=list)
     lapsed_at: float = float("-inf")
 
     @property
@@ -88,24 +88,24 @@
 
     @property
     def incarnation_name(self) -> str:
-        """Name of this life, which no other has."""
+        """Unique name of this incarnation."""
         return Incarnation(self.record.executor_id, self.started_at_ms).name
 
-    def resize(self, capacity: Demand, *, known_by: float) -> None:
-        """Change the room in all; starts are judged by the one before, too, until it is known."""
-        self.rooms_before.append((self.record.capacity, known_by))
+    def resize(self, capacity: Demand, *, enforced_from: float) -> None:
+        """Change the capacity. Until ``enforced_from``, starts may use the previous one, too."""
+        self.previous_capacities.append((self.record.capacity, enforced_from))
         self.record = replace(self.record, capacity=capacity)
 
     def judged_room(self) -> Demand:
-        """Return the room that starts must keep to: a smaller one counts once it is known."""
-        self.rooms_before = [row for row in self.rooms_before if self.now < row[1]]
+        """Return the capacity that starts must fit: a reduction counts once it is enforced."""
+        self.previous_capacities = [row for row in self.previous_capacities if self.now < row[1]]
         room = self.record.capacity
-        for before, _ in self.rooms_before:
+        for before, _ in self.previous_capacities:
             room = room.union(before)
         return room
 
     def free(self, room: Demand | None = None) -> Demand:
-        """Return what is left of a room, by default of that which there is."""
+        """Return the unused part of a capacity, by default of the current one."""
         room = room or self.record.capacity
         cpu, memory = room.milli_cpu, room.memory_mb
         for run in self.running.values():
@@ -133,13 +133,13 @@
                 return StartOutcome.NO_ROOM
             self.world.violations.append(f"{self.now:.2f} LIMIT {order.task} overfills")
         self.world.judge_start(self, order)
-        took = self.world.running_time(order.task)
-        run = _Run(order.task, order.run, order.payload, self.now, self.now + took, False)
+        duration_s = self.world.running_time(order.task)
+        run = _Run(order.task, order.run, order.payload, self.now, self.now + duration_s, False)
         run.fails = self.world.fails(order.task, order.run)
         self.running[order.task] = run
-        self._later(took + 1e-6, self.advance)
+        self._later(duration_s + 1e-6, self.advance)
         if step.gang and not self.world.assembled(order.task, order.run):
-            self._later(GANG_S, self._end_alone, run)
+            self._later(GANG_TIMEOUT_S, self._end_alone, run)
         self.world.crash_after_start(self, order.task, order.run)
         return StartOutcome.STARTED
 
@@ -154,7 +154,7 @@
             self._later(STOP_S, self._finish, run, EndKind.STOPPED)
 
     def _later(self, delay_s: float, callback: Callable[..., None], *args: Any) -> None:
-        """Call back later, whatever becomes of the host that calls now."""
+        """Schedule a callback that runs even if the calling host stops."""
         asyncio.get_running_loop().call_later(delay_s, callback, *args, context=Context())
 
     def fence(self, token: int) -> None:
@@ -165,7 +165,7 @@
             self.lapsed_at = (self.until - self.clock_ahead_s) / self.slow_clock
 
     def advance(self) -> None:
-        """Let time pass: runs end, leases lapse."""
+        """End the runs that are finished or whose lease has expired."""
         if not self.alive or not self.running:
             return
         now = self.now
@@ -173,7 +173,7 @@
             for run in list(self.running.values()):
                 self._finish(run, EndKind.LAPSED)
         due = [run for run in self.running.values() if now >= run.ends_at]
-        # A member by itself does not work: it ends alone.
+        # A gang member without the others does no work; `_end_alone` ends it.
         due = [run for run in due if self.world.may_end(run.task, run.run)]
         for run in due:
             self._finish(run, EndKind.FAILED if run.fails else EndKind.DONE)
@@ -194,7 +194,7 @@
             self._finish(run, EndKind.ALONE)
 
     def break_member(self, member: TaskName, run: int) -> None:
-        """End the runs of a gang one of whose members ended on another executor."""
+        """End the runs of a gang that lost a member on another executor."""
         for other in list(self.running.values()):
             task = other.task
             if task[:3] == member[:3] and other.run == run and self.world.step_of(task).gang:
@@ -219,7 +219,7 @@
 
 
 class ExecutorLink:
-    """One tenure's way to all executors."""
+    """Link of one tenure to all executors."""
 
     def __init__(self, world: HallExecutors, host: str, token: int) -> None:
         self._world = world
@@ -238,20 +238,20 @@
             self._world.judge_start_of_cancelled(order.task)
         await self._answer()
         if not executor.alive:
-            # It fell before its answer was on its way.
+            # The executor crashed before it sent its answer.
             if self._world.resets:
                 raise Unreachable("connection reset")
             await self._no_answer()
         return StartAnswer(outcome, executor.clock)
 
-    def _who_has(self, executor: MemoryExecutor) -> MemoryExecutor:
-        """Return the life that an order on its way comes to by now."""
+    def _current_incarnation(self, executor: MemoryExecutor) -> MemoryExecutor:
+        """Return the incarnation that a delayed order reaches now."""
         now = self._world.at(executor.record.address)
         same = now and now.record.executor_id == executor.record.executor_id
         return now if now and same and self._world.late_to_next_life else executor
 
     def _start_late(self, sent_to: MemoryExecutor, order: StartOrder, until_s: float) -> None:
-        executor = self._who_has(sent_to)
+        executor = self._current_incarnation(sent_to)
         if executor.alive:
             try:
                 outcome = executor.start(order, until_s, self._token)
@@ -271,7 +271,7 @@
         return True
 
     def _stop_late(self, sent_to: MemoryExecutor, order: StopOrder) -> None:
-        executor = self._who_has(sent_to)
+        executor = self._current_incarnation(sent_to)
         if executor.alive:
             try:
                 executor.stop(order, self._token)
@@ -307,7 +307,7 @@
                 raise Unreachable("connection reset")
             asked, executor = executor, await self._reach(address, executor_id)
             if executor.record.executor_id == asked.record.executor_id and executor is not asked:
-                # The question was put to the life before: its connections ended with it.
+                # The poll went to the previous incarnation, whose connections ended with it.
                 raise Unreachable("connection reset")
             executor.fence(self._token)
         report = executor.report(acknowledged)
--- a/tests/test_dropping_stream.py
+++ b/tests/test_dropping_stream.py
@@ -1,4 +1,7 @@
-"""A log that nobody reads holds nobody up."""
+"""Checks that a log whose reader is slow or has closed the pipe does not block the writer.
+
+A blocking write to a full pipe would freeze the whole process.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
     os.close(writer)
 
 
-def test_a_reader_that_is_gone_ends_nothing() -> None:
+def test_a_closed_reader_drops_lines_without_an_error() -> None:
     reader, writer = os.pipe()
     stream = DroppingStream(writer)
     os.close(reader)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events and the bound on floods."""
+"""Checks the catalogue of events, the rate limit of log lines, and the fields of a line."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 DOCS = Path(__file__).resolve().parents[1] / "docs"
 
 
-def test_numbers_are_unique() -> None:
+def test_event_numbers_are_unique() -> None:
     assert len({event.number for event in Event}) == len(Event)
 
 
-def test_page_is_up_to_date() -> None:
+def test_the_page_of_events_is_up_to_date() -> None:
     assert (DOCS / "EVENTS.md").read_text() == catalogue()
 
 
-def test_flood_is_bounded_and_counted(
+def test_a_flood_of_one_event_is_limited_and_counted(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = 100.0
@@ -64,14 +64,14 @@
     assert all(line["level"] == "INFO" and line["timestamp"] for line in lines)
 
 
-def test_what_a_line_is_about_stands_before_who_wrote_it(
+def test_event_fields_precede_and_override_fields_of_the_writer(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against lines that, cut off, tell who wrote them and not what was decided."""
+    """Checks that a line cut off at its end still holds the fields of its event."""
     log = EventLog("test")
     log.bind(host="edge-1", hall="east", life="a0")
     log.write(Event.RUN_FAILED, job="00aa", failures=1, most=3, hall="west")
     line = json.loads(capsys.readouterr().err)
     names = list(line)
     assert names.index("most") < names.index("daemon")
-    assert line["hall"] == "west", "what is said of an event stands over what all lines say"
+    assert line["hall"] == "west", "a field of the event overrides the bound field of the same name"
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Packages import only what lies below them."""
+"""Checks that each package imports only packages of lower layers."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
     ("host._run", "gateway"),
     ("host.__main__", "cli"),
 )
-"""From the bottom up. What stands in one row knows nothing of its neighbours there."""
-AGAINST = {
+"""Layers from the bottom up. Units of the same layer do not import each other."""
+KNOWN_VIOLATIONS = {
     "config.validate -> placement.placers",
     "config.validate -> routing.pickers",
 }
-"""Imports against the rule that are still there: names that register themselves above."""
+"""Known imports of a higher layer: they load modules that register names."""
 RANKS = {unit: rank for rank, row in enumerate(LAYERS) for unit in row}
 
 
 def _modules() -> dict[str, Path]:
-    """Return the files of all modules by their name below the project's root package."""
+    """Return the files of all modules by their name relative to the root package."""
     found = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -47,7 +47,7 @@
 
 
 def _imported(path: Path, modules: dict[str, Path]) -> set[str]:
-    """Return the project's modules that a file imports, also those for types only."""
+    """Return the project's modules that a file imports, including imports for type checking."""
     named = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -58,32 +58,36 @@
             named |= {name for name in below if name.removeprefix("linkspan.") in modules} or {
                 str(node.module)
             }
-    ours = {name for name in named if name.split(".")[0] == "linkspan"}
-    return {name.removeprefix("linkspan").removeprefix(".") for name in ours}
+    own = {name for name in named if name.split(".")[0] == "linkspan"}
+    return {name.removeprefix("linkspan").removeprefix(".") for name in own}
 
 
 def _unit(module: str) -> str:
-    """Return the row entry that a module belongs to: itself, or its package."""
+    """Return the unit of a module in ``LAYERS``: the module itself or its package."""
     return module if module in RANKS else module.split(".", maxsplit=1)[0]
 
 
-def _is_against(module: str, other: str) -> bool:
+def _violates_layers(module: str, other: str) -> bool:
     unit, below = _unit(module), _unit(other)
     return unit != below and RANKS[below] >= RANKS[unit]
 
 
-def test_every_package_has_its_layer() -> None:
+def test_every_unit_has_a_layer() -> None:
     modules = _modules()
     assert {_unit(module) for module in modules} == set(RANKS)
 
 
-def test_packages_import_only_what_lies_below() -> None:
+def test_packages_import_only_lower_layers() -> None:
     modules = _modules()
-    arrows = {(name, other) for name, path in modules.items() for other in _imported(path, modules)}
-    assert len(arrows) > len(modules)
-    assert {f"{name} -> {other}" for name, other in arrows if _is_against(name, other)} == AGAINST
+    imports = {
+        (name, other) for name, path in modules.items() for other in _imported(path, modules)
+    }
+    assert len(imports) > len(modules)
+    assert {
+        f"{name} -> {other}" for name, other in imports if _violates_layers(name, other)
+    } == KNOWN_VIOLATIONS
 
 
-def test_packages_of_the_shard_say_their_concern() -> None:
+def test_each_package_of_shard_has_a_docstring() -> None:
     for path in (ROOT / "shard").rglob("__init__.py"):
         assert ast.get_docstring(ast.parse(path.read_text())), path
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What jobs' time went to, as the logs tell it."""
+"""Checks how the report divides the time of jobs among causes, from the logs of hosts."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     assert reader.refused == {"store is away": 1}
 
 
-def test_bad_lines_are_counted_and_passed_over() -> None:
+def test_bad_lines_are_counted_and_skipped() -> None:
     reader = LogReader()
     reader.read([b"no object", b"{cut", b'{"event": 1}', b'{"event":"x","timestamp":"y"}', b""])
     assert reader.bad_lines == 4
@@ -65,7 +65,7 @@
     assert reader.over_s == {"east": 3.0}
 
 
-def test_jobs_without_an_end_stay_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_open_jobs_in_memory_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("linkspan.report.reader.MAX_OPEN_JOBS", 10)
     reader = LogReader()
     reader.read(line(1.0, 520, job=f"{n}", queue="q") for n in range(100))
@@ -73,7 +73,7 @@
     assert len(reader._jobs) == 10
 
 
-def test_parts_add_up_whatever_overlaps() -> None:
+def test_the_parts_of_overlapping_intervals_add_up_to_the_whole() -> None:
     random = Random(1)
     for _ in range(200):
         starts = [random.uniform(-5.0, 15.0) for _ in range(8)]
@@ -84,7 +84,7 @@
         assert sum(split(intervals, 0.0, 10.0).values()) == pytest.approx(10.0)
 
 
-def test_the_command_prints_tables_or_says_what_is_missing(
+def test_the_command_prints_tables_and_refuses_an_empty_log(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "host.log"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: flags over environment over defaults, all mistakes at once."""
+"""Checks the precedence of flags, environment and defaults, and the errors of settings."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     loggable_settings,
 )
 
-NEEDED = {"hall": "rennes-a", "log": "10.0.0.1:80", "hosts": "10.0.0.1:81"}
+REQUIRED = {"hall": "rennes-a", "log": "10.0.0.1:80", "hosts": "10.0.0.1:81"}
 
 
-def test_flags_go_over_environment_over_defaults() -> None:
+def test_flags_override_environment_and_environment_overrides_defaults() -> None:
     environment = {"LINKSPAN_LEASE_S": "20", "LINKSPAN_EXCHANGE_S": "5", "HOME": "/"}
-    loaded = load_settings(SchedulerSettings, {**NEEDED, "lease_s": 30}, environment)
+    loaded = load_settings(SchedulerSettings, {**REQUIRED, "lease_s": 30}, environment)
     assert (loaded.lease_s, loaded.exchange_s, loaded.heartbeat_s) == (30.0, 5.0, 1.0)
 
 
-def test_all_mistakes_are_told_at_once_with_remedies() -> None:
+def test_all_errors_are_reported_at_once_with_remedies() -> None:
     flags = {"hall": "h", "log": "somewhere", "lease_s": "x", "exchange_s": 0, "colour": 1}
     with pytest.raises(SettingsError) as caught:
         load_settings(SchedulerSettings, flags, {"LINKSPAN_COLOR": "red"})
@@ -36,15 +36,15 @@
     ]
 
 
-def test_names_of_hosts_and_wrong_words_are_refused() -> None:
+def test_host_names_as_addresses_and_unknown_words_are_refused() -> None:
     with pytest.raises(SettingsError, match="is not an address"):
-        load_settings(GatewaySettings, {**NEEDED, "listen": "localhost:80"}, {})
+        load_settings(GatewaySettings, {**REQUIRED, "listen": "localhost:80"}, {})
     with pytest.raises(SettingsError, match="give one of debug"):
-        load_settings(GatewaySettings, {**NEEDED, "log_level": "loud"}, {})
+        load_settings(GatewaySettings, {**REQUIRED, "log_level": "loud"}, {})
 
 
-def test_token_is_kept_out_of_what_is_shown() -> None:
-    loaded = load_settings(GatewaySettings, {**NEEDED, "operator_token": "sesame"}, {})
+def test_the_operator_token_is_masked_in_logged_settings() -> None:
+    loaded = load_settings(GatewaySettings, {**REQUIRED, "operator_token": "sesame"}, {})
     assert loggable_settings(loaded)["operator_token"] == "***"
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""A job's way through the logs of all hosts."""
+"""Checks the trace of a job through the logs of all hosts, and its summary of starts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return b"  12.5 host " + json.dumps({**entry, **fields}).encode()
 
 
-def test_lines_come_in_order_with_what_befell_the_executors() -> None:
+def test_lines_are_ordered_and_include_events_of_the_jobs_executors() -> None:
     lines = [
         line(5, "executor_silent", executor="e1"),
         line(1, "job_accepted", job="a"),
@@ -35,7 +35,7 @@
     assert trace("zz", [line(1, "job_accepted", job="a")]) == []
 
 
-def test_claims_of_the_owners_that_named_the_job_are_shown() -> None:
+def test_claims_of_owners_that_logged_the_job_are_included() -> None:
     lines = [
         line(1, "owner_claimed", shard=0, token=7, former_acts_s=1.5),
         line(2, "owner_claimed", shard=1, token=7),
@@ -118,10 +118,10 @@
         line(9, "step_placed", job="b", host="x", shard=0, token=41, step="0.0", runs={"1/1": "e"}),
     ],
 )
-"""Logs of a host of each hall; a job begins in the west, and again in the east."""
+"""Logs of a host of each hall. A job starts in the west, and again in the east."""
 
 
-def test_each_start_of_a_task_stands_beside_the_others_with_its_owners_reason() -> None:
+def test_repeated_starts_are_listed_with_their_owner_and_reason() -> None:
     found = trace("a", [*TWO_HALLS[1], *TWO_HALLS[0]])
     starts = repeated_starts(found)
     assert list(starts) == ["0.0.1"]
@@ -138,7 +138,7 @@
     assert [row.split()[3] for row in text[5:]] == ["work_handed_over", "job_taken_in", "move_told"]
 
 
-def test_a_copy_and_a_run_after_a_failed_one_are_starts() -> None:
+def test_speculative_copies_and_retries_count_as_starts() -> None:
     found = trace(
         "a",
         [
@@ -161,7 +161,7 @@
     assert summary(trace("a", TWO_HALLS[0])) == []
 
 
-def test_the_command_prints_the_summary_behind_the_lines(
+def test_the_command_prints_the_summary_after_the_lines(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     paths = [tmp_path / "w.log", tmp_path / "x.log"]
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only when nothing is left to do."""
+"""An event loop with virtual time, which advances only when no callback is ready."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 T = TypeVar("T")
 
 EPOCH = 1_700_000_000.0
-"""Time of day at steady time 0."""
+"""Wall-clock time at steady time 0."""
 
 
 HOST: ContextVar[str] = ContextVar("HOST", default="")
-"""Name of the host whose process a task belongs to; empty outside of all."""
+"""Name of the host process that a task belongs to, empty outside of all hosts."""
 
 
 class _Selector(selectors.SelectSelector):
@@ -31,60 +31,60 @@
         if ready:
             return ready
         if timeout is None:
-            raise RuntimeError("nothing will ever happen again")
+            raise RuntimeError("deadlock: no callback is ready and no timer is set")
         self.now += max(timeout, 0.0)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Event loop with virtual time."""
+    """Event loop with virtual time, whose hosts can be frozen and suspended."""
 
     def __init__(self) -> None:
         self._virtual = _Selector()
         self._frozen: set[str] = set()
-        self._held: defaultdict[str, list[_Guard]] = defaultdict(list)
+        self._deferred: defaultdict[str, list[_Guard]] = defaultdict(list)
         self._suspended_at: dict[str, float] = {}
         self._suspended_s: defaultdict[str, float] = defaultdict(float)
         super().__init__(self._virtual)
 
     @property
     def world_s(self) -> float:
-        """Time that goes on for all, whichever host asks."""
+        """Time that includes the suspensions of every host."""
         return self._virtual.now
 
     def time(self) -> float:
-        """Return the steady time of the host that asks: its suspensions do not count."""
+        """Return the steady time of the calling host, which excludes its suspensions."""
         return self._virtual.now - self._suspended_s[HOST.get()]
 
     def suspended_s(self, host: str) -> float:
-        """Return for how long a host has been suspended so far."""
+        """Return the total duration of a host's suspensions that ended."""
         return self._suspended_s[host]
 
     def freeze(self, host: str) -> None:
-        """Let nothing of a host run any more, as when its process is stopped."""
+        """Defer all callbacks of a host, as when its process is stopped."""
         self._frozen.add(host)
 
     def thaw(self, host: str) -> None:
-        """Let a host run again, with all that came due meanwhile, in order."""
+        """Run a host again, beginning with the deferred callbacks in their order."""
         self._frozen.discard(host)
-        for held in self._held.pop(host, ()):
-            super().call_soon(held, context=held.context)
+        for deferred in self._deferred.pop(host, ()):
+            super().call_soon(deferred, context=deferred.context)
 
     def suspend(self, host: str) -> None:
-        """Suspend a host's machine: nothing of it runs, and its steady clock stands."""
+        """Suspend a host's machine: defer all its callbacks and stop its steady clock."""
         self._suspended_at[host] = self._virtual.now
         self._frozen.add(host)
 
     def resume(self, host: str) -> None:
-        """Let a suspended machine go on: its timers are due as much later as it stood."""
+        """Resume a suspended machine: its timers are postponed by the suspension."""
         self._suspended_s[host] += self._virtual.now - self._suspended_at.pop(host)
         self._frozen.discard(host)
-        for held in self._held.pop(host, ()):
-            if not held.put_off():
-                super().call_soon(held, context=held.context)
+        for deferred in self._deferred.pop(host, ()):
+            if not deferred.postpone():
+                super().call_soon(deferred, context=deferred.context)
 
     def thaw_all(self) -> None:
-        """Let all hosts run again."""
+        """End the freeze of all hosts."""
         for host in list(self._frozen):
             self.thaw(host)
 
@@ -104,20 +104,20 @@
         guard.handle = timer
         return timer
 
-    def call_again(self, guard: _Guard, due: float) -> None:
-        """Call a timer's callback at a later time; its handle still cancels it."""
+    def reschedule(self, guard: _Guard, due: float) -> None:
+        """Schedule a timer's callback for a later time. The first handle still cancels it."""
         super().call_at(due, guard, context=guard.context)
 
-    def hold(self, guard: _Guard) -> bool:
-        """Keep a callback of a host that stands still, and return whether it does."""
+    def defer(self, guard: _Guard) -> bool:
+        """Defer a callback if its host is frozen, and return whether it is."""
         if guard.host not in self._frozen:
             return False
-        self._held[guard.host].append(guard)
+        self._deferred[guard.host].append(guard)
         return True
 
 
 class _Guard:
-    """A callback that waits while its host stands still."""
+    """A callback that is deferred while its host is frozen."""
 
     def __init__(
         self,
@@ -135,23 +135,23 @@
         self.due: float | None = None
         self._suspended_s = loop.suspended_s(self.host)
 
-    def put_off(self) -> bool:
-        """Put a timer off by what its host was suspended since it was set, if it was."""
+    def postpone(self) -> bool:
+        """Postpone a timer by its host's suspensions since it was set; return whether it was."""
         since_s = self._loop.suspended_s(self.host) - self._suspended_s
         if self.due is None or not since_s:
             return False
         self._suspended_s += since_s
         self.due += since_s
-        self._loop.call_again(self, self.due)
+        self._loop.reschedule(self, self.due)
         return True
 
     def __call__(self) -> None:
         if self.handle and self.handle.cancelled():
-            # Cancelled while it was held.
+            # Cancelled while it was deferred.
             return
-        if self.host and self.put_off():
+        if self.host and self.postpone():
             return
-        if not self.host or not self._loop.hold(self):
+        if not self.host or not self._loop.defer(self):
             self._callback(*self._args)
 
 
@@ -163,7 +163,7 @@
 
 
 def world_time() -> float:
-    """Return the time that goes on for all, in a virtual world or not."""
+    """Return the time of the virtual world, or of a regular loop outside of one."""
     loop = asyncio.get_running_loop()
     return loop.world_s if isinstance(loop, VirtualLoop) else loop.time()
 
@@ -174,10 +174,10 @@
     """Run a coroutine to its end in virtual time.
 
     Args:
-        work: The coroutine.
-        limit_s: Longest time, which is virtual, too.
-        suspensions_count: Whether the clock of the product counts suspensions of its host;
-            taken out to show what that protects.
+        work: Coroutine to run.
+        limit_s: Limit of its duration in virtual time.
+        suspensions_count: Whether the product's clock includes suspensions of its host. Tests
+            switch this off to show the failures that it prevents.
     """
     loop = VirtualLoop()
     clock_s = (lambda: loop.world_s) if suspensions_count else loop.time
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -1,4 +1,4 @@
-"""A world of hosts of two classes, one-way cuts, gangs, copies and work that fills."""
+"""A deployment with lost answers, slow hosts, gangs, speculative copies and best-effort work."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
         TaskName,
     )
 
-LOST_S = 1.0
-"""Time after which a call whose answer does not come counts as unanswered."""
+LOST_ANSWER_TIMEOUT_S = 1.0
+"""Timeout of a call whose answer is lost."""
 
 
 @dataclass
 class WideExecutor(MemoryExecutor):
-    """One incarnation whose room is not taken by what fills."""
+    """An executor incarnation whose CPU is not occupied by best-effort tasks."""
 
     def free(self, room: Demand | None = None) -> Demand:
         free = super().free(room)
@@ -44,12 +44,12 @@
 
 @dataclass
 class WideWorld(LapsingWorld):
-    """A deployment with pairs that hear each other in one direction only.
+    """A deployment with host-executor pairs whose link is cut in one direction.
 
     Attributes:
-        deaf: Pairs of host and executor whose calls are carried out and not answered.
-        call_s: Time that each call of a host to an executor takes longer, by host.
-        first_runs: Executors on which first runs began, and when, by job.
+        deaf: Pairs of host and executor whose calls are carried out but not answered.
+        call_s: Delay of each call of a host to an executor, in each direction, by host.
+        first_runs: Executors and start times of the first runs of each job.
     """
 
     deaf: set[tuple[str, str]] = field(default_factory=set)
@@ -64,13 +64,13 @@
     def add_executor(
         self, hall: str, address: str, *, executor_id: str = "", clock_s: float | None = None
     ) -> MemoryExecutor:
-        made = super().add_executor(hall, address, executor_id=executor_id, clock_s=clock_s)
+        base = super().add_executor(hall, address, executor_id=executor_id, clock_s=clock_s)
         executor = WideExecutor(
             self,
-            made.record,
-            slow_clock=made.slow_clock,
-            started_at_ms=made.started_at_ms,
-            clock_ahead_s=made.clock_ahead_s,
+            base.record,
+            slow_clock=base.slow_clock,
+            started_at_ms=base.started_at_ms,
+            clock_ahead_s=base.clock_ahead_s,
         )
         self.executors[address] = executor
         return executor
@@ -78,10 +78,10 @@
     def running_time(self, task: TaskName) -> float:
         step = self.step_of(task)
         if step.gang:
-            # Members work together and end together.
+            # All members of a gang have the same duration, since they end together.
             return step.estimate_s * Random(f"{task.job_id} {task.step}").uniform(0.8, 1.2)
         if step.speculative and self.random.random() < 0.2:
-            # So slow that a copy is worth its while.
+            # Slow enough for a speculative copy to finish earlier.
             return step.estimate_s * 6
         return super().running_time(task)
 
@@ -92,15 +92,15 @@
         if self.step_of(order.task).speculative:
             new = [line for line in new if " TWICE " not in line]
         if order.run == 1:
-            if self._first_runs_lapsed(executor, order.task.job_id):
+            if self._first_run_leases_expired(executor, order.task.job_id):
                 new = [line for line in new if " ELSEWHERE " not in line]
             self.first_runs[order.task.job_id].append((executor, executor.now))
         self.violations[before:] = new
 
-    def _first_runs_lapsed(self, executor: MemoryExecutor, job_id: str) -> bool:
-        """Whether the leases of a job's first runs in other halls have lapsed since.
+    def _first_run_leases_expired(self, executor: MemoryExecutor, job_id: str) -> bool:
+        """Whether the leases of all first runs of a job in other halls have expired since.
 
-        Nothing of them is left to be known by, for an owner that did not hear of them.
+        An owner that received no report of such runs has no means to learn of them.
         """
         return all(
             began < other.lapsed_at or other.clock >= other.until
@@ -115,22 +115,22 @@
 
 
 class WideLink(ExecutorLink):
-    """One tenure's way to all executors, slow from some hosts and deaf to some executors."""
+    """Link of one tenure to all executors, with delays and lost answers."""
 
     def __init__(self, world: WideWorld, host: str, token: int) -> None:
         super().__init__(world, host, token)
         self._wide = world
 
     async def start(self, address: str, order: StartOrder, *, until_s: float) -> StartAnswer:
-        await self._slow()
+        await self._delay()
         answer = await super().start(address, order, until_s=until_s)
-        await self._hear(address)
+        await self._receive_answer(address)
         return answer
 
     async def stop(self, address: str, order: StopOrder) -> bool:
-        await self._slow()
+        await self._delay()
         answer = await super().stop(address, order)
-        await self._hear(address)
+        await self._receive_answer(address)
         return answer
 
     async def renew(
@@ -142,18 +142,18 @@
         until_s: float | None,
         wait_s: float,
     ) -> ExecutorReport:
-        await self._slow()
+        await self._delay()
         report = await super().renew(
             address, executor_id, acknowledged=acknowledged, until_s=until_s, wait_s=wait_s
         )
-        await self._hear(address)
+        await self._receive_answer(address)
         return report
 
-    async def _slow(self) -> None:
+    async def _delay(self) -> None:
         await asyncio.sleep(self._wide.call_s.get(self._host, 0.0))
 
-    async def _hear(self, address: str) -> None:
+    async def _receive_answer(self, address: str) -> None:
         if (self._host, address) in self._wide.deaf:
-            await asyncio.sleep(LOST_S)
+            await asyncio.sleep(LOST_ANSWER_TIMEOUT_S)
             raise Unreachable("no answer")
         await asyncio.sleep(self._wide.call_s.get(self._host, 0.0))
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A hall in memory: schedulers' cores, a fake log and fake workers on a virtual clock."""
+"""A hall in memory: scheduler cores, a fake log and fake workers on a virtual clock."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass
 class SimScheduler:
-    """A core with its links, which can be cut, and its process, which can be frozen."""
+    """A scheduler core with links that can be cut and a process that can be frozen."""
 
     core: SchedulerCore
     position: int = 0
@@ -49,7 +49,7 @@
 
 @dataclass
 class _Transit:
-    """Orders on their way; a freeze of the sender holds them back."""
+    """Orders in transit to a worker. A freeze of the sender delays them."""
 
     due: float
     sender: str
@@ -59,7 +59,7 @@
 
 
 class World:
-    """One hall; ``advance`` moves everything in it through time."""
+    """One hall, whose schedulers and workers proceed in ``advance``."""
 
     def __init__(self, *, seed: int = 0, workers: int = 3, schedulers: int = 2) -> None:
         self.now = 0.0
@@ -90,7 +90,7 @@
         )
 
     def start_scheduler(self) -> str:
-        """Start a scheduler under a name never used before."""
+        """Start a scheduler under a new name."""
         self._started += 1
         name = f"s{self._started}"
         core = SchedulerCore(
@@ -100,11 +100,11 @@
         return name
 
     def kill(self, name: str) -> None:
-        """Kill a scheduler; its orders on the way may still arrive."""
+        """Kill a scheduler. Its orders in transit may still arrive."""
         del self.schedulers[name]
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Stop a scheduler's process for a while, with what it was sending."""
+        """Freeze a scheduler's process for a time, and delay its orders in transit."""
         until = self.now + seconds
         self.schedulers[name].frozen_until = until
         for transit in self._transits:
@@ -112,7 +112,7 @@
                 transit.due = max(transit.due, until)
 
     def heal(self) -> None:
-        """End every fault."""
+        """End all faults."""
         self.log.faults.down = False
         self.log.faults.append_lost = self.log.faults.answer_lost = 0.0
         self.log.faults.duplicate = 0.0
@@ -124,21 +124,21 @@
             sim.workers_cut.clear()
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time of all schedulers and workers."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_S
             for worker in self.workers:
                 worker.tick(self.now)
-            self._deliver()
+            self._deliver_orders()
             awake = [s for s in self.schedulers.values() if s.frozen_until <= self.now]
             for sim in awake:
-                self._beat(sim, awake)
+                self._send_heartbeats(sim, awake)
             for sim in awake:
                 self._read(sim)
                 self._step(sim)
 
-    def _beat(self, sim: SimScheduler, awake: list[SimScheduler]) -> None:
+    def _send_heartbeats(self, sim: SimScheduler, awake: list[SimScheduler]) -> None:
         core = sim.core
         unfit = core.unfit(self.now)
         for other in awake:
@@ -187,7 +187,7 @@
             return
 
     def snapshot(self) -> None:
-        """Let a scheduler append a snapshot of its state."""
+        """Have the first scheduler that can append do so with a snapshot of its ledger."""
         for sim in self.schedulers.values():
             if sim.recovery is None and sim.frozen_until <= self.now and not sim.log_cut:
                 for part in snapshot_parts(sim.core.ledger):
@@ -195,15 +195,15 @@
                     self._append(sim, record)
                 return
 
-    def _deliver(self) -> None:
+    def _deliver_orders(self) -> None:
         due = [t for t in self._transits if t.due <= self.now]
         self._transits = [t for t in self._transits if t.due > self.now]
         by_name = {worker.spec.name: worker for worker in self.workers}
         for transit in due:
             report = by_name[transit.worker].exchange(transit.orders, self.now)
-            self._bring_back(transit, report)
+            self._deliver_report(transit, report)
 
-    def _bring_back(self, transit: _Transit, report: WorkerReport) -> None:
+    def _deliver_report(self, transit: _Transit, report: WorkerReport) -> None:
         sim = self.schedulers.get(transit.sender)
         lost = transit.worker in self.cut_workers or self.random.random() < 0.05
         if sim is None or lost or transit.worker in sim.workers_cut:
@@ -212,19 +212,19 @@
             sim.core.on_report(report, transit.began)
 
     def settle(self, seconds: float = 160.0) -> None:
-        """End all faults and let the hall come to rest."""
+        """End all faults and advance until the hall is idle."""
         self.heal()
         if not self.schedulers:
             self.start_scheduler()
         self.advance(seconds)
 
     def ledger(self) -> Ledger:
-        """Return the fold of the scheduler that has read the furthest."""
+        """Return the ledger of the scheduler that has read the furthest."""
         sims = self.schedulers.values()
         return max((s.core.ledger for s in sims), key=lambda ledger: ledger.next_offset)
 
     def placements_of(self, entry: JobEntry) -> str:
-        """Return where the fold and the workers have a job, for messages."""
+        """Describe where the ledger and the workers place a job, for assertion messages."""
         placed = [(t, p) for t, p in self.ledger().placements.items() if t.job == entry.number]
         workers = [(w.spec.name, list(w.runs), list(w.closed)) for w in self.workers]
         return f"{placed} {self.schedulers} {workers}"
