--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform's services, workers and executors."""
+"""Stand-ins for the platform's services, workers and executors."""
--- a/tests/standins/executor_http.py
+++ b/tests/standins/executor_http.py
@@ -1,4 +1,4 @@
-"""Executors in memory over HTTP."""
+"""An HTTP server for executors in memory."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class _Address(NamedTuple):
-    """Whom an order is for."""
+    """Address and id of the executor that an order is for."""
 
     address: str
     executor_id: str
 
 
 class ExecutorFront:
-    """Speaks the executors' protocol over executors in memory.
+    """Serves the executors' protocol for executors in memory.
 
     Attributes:
-        addresses: Which executor's address stands for a port of the server.
-        on_order: Called with the executor's address before each order.
+        addresses: Executor address of each server port.
+        on_order: Callback before each order, with the executor's address.
     """
 
     def __init__(self, world: HallExecutors) -> None:
@@ -46,7 +46,7 @@
         self.on_order: Callable[[str], None] = lambda _address: None
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one order."""
+        """Carry out one order and answer it."""
         address = self.addresses[local_port(request)]
         body = json.loads(await request.read())
         self.on_order(address)
--- a/tests/standins/fake_log.py
+++ b/tests/standins/fake_log.py
@@ -1,4 +1,4 @@
-"""An append-only log in memory, with faults that can be switched on."""
+"""An append-only log in memory, with faults for tests to switch on."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass
 class LogFaults:
-    """What goes wrong, as chances from 0 to 1 or as switches."""
+    """Faults, as switches, as probabilities from 0 to 1, or as seconds."""
 
     down: bool = False
     append_lost: float = 0.0
@@ -22,7 +22,7 @@
 
 @dataclass
 class FakeLog:
-    """Streams of records; ``retention`` bounds how many each one keeps."""
+    """Streams of records, each limited to its newest ``retention`` records unless that is 0."""
 
     seed: int = 0
     retention: int = 0
@@ -35,7 +35,7 @@
         self._random = random.Random(self.seed)
 
     def append(self, stream: str, body: bytes) -> int:
-        """Append and return the offset; a lost answer comes after the effect."""
+        """Append a record and return its offset. An answer is lost after the append is done."""
         faults = self.faults
         if faults.down or self._random.random() < faults.append_lost:
             raise LogUnavailable("stand-in: append lost")
@@ -51,11 +51,11 @@
         return len(records) - 1
 
     def first(self, stream: str) -> int:
-        """Return the oldest offset that is kept."""
+        """Return the offset of the oldest retained record."""
         return self.firsts.get(stream, 0)
 
     def read(self, stream: str, start: int, most: int = 500) -> LogPage:
-        """Return records from ``start`` on."""
+        """Return up to ``most`` records from the offset ``start`` on."""
         if self.faults.down:
             raise LogUnavailable("stand-in: log is down")
         if start < self.first(stream):
--- a/tests/standins/fake_worker.py
+++ b/tests/standins/fake_worker.py
@@ -1,4 +1,4 @@
-"""A worker that keeps the guarantees of docs/PLATFORM.md, and a witness of what ran."""
+"""A worker with the guarantees of docs/PLATFORM.md, and a witness of all its attempts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Witness:
-    """Sees every run on every worker, and counts what must never be."""
+    """Observes the attempts on all workers, and records violations."""
 
     running: dict[str, tuple[str, int]] = field(default_factory=dict)
     begun: dict[str, int] = field(default_factory=dict)
@@ -29,7 +29,7 @@
     attempts: set[tuple[str, int]] = field(default_factory=set)
 
     def begin(self, worker: str, start: StartCommand) -> None:
-        """Note that an attempt begins on a worker."""
+        """Record that an attempt starts on a worker, and check that it may."""
         task = f"{start.job_id}/{start.index}"
         if task in self.running:
             self.violations.append(f"{task}: {start.run} on {worker} beside {self.running[task]}")
@@ -41,7 +41,7 @@
         self.resumed_from.setdefault(task, []).append(start.checkpoint)
 
     def end(self, worker: str, start: StartCommand, *, completed: bool) -> None:
-        """Note that an attempt does not run any more."""
+        """Record that an attempt has ended."""
         task = f"{start.job_id}/{start.index}"
         if self.running.get(task) == (worker, start.run.attempt):
             del self.running[task]
@@ -49,7 +49,7 @@
             self.completed[task] = self.completed.get(task, 0) + 1
 
     def room(self, worker: str, used: Resources, size: Resources) -> None:
-        """Check that a worker holds no more than it can."""
+        """Check that the resources in use on a worker fit its size."""
         if not used.fits_within(size):
             self.violations.append(f"{worker} holds {used} of {size}")
 
@@ -64,10 +64,10 @@
 
 @dataclass
 class FakeWorker:
-    """A worker on a clock of its own.
+    """A worker with its own clock.
 
-    ``run_s`` gives an attempt's run time; ``fails`` whether it ends by failure.
-    ``offset`` and ``rate`` make its clock differ from everyone else's.
+    ``run_s`` returns the duration of an attempt, ``fails`` whether it ends as failed.
+    ``offset`` and ``rate`` define the worker's clock relative to the time of the test.
     """
 
     spec: WorkerSpec
@@ -82,20 +82,20 @@
     highest: dict[str, int] = field(default_factory=dict)
 
     def clock(self, now: float) -> float:
-        """Return this worker's clock at our time ``now``."""
+        """Return the reading of the worker's clock at the test's time ``now``."""
         return self.offset + now * self.rate
 
     def tick(self, now: float) -> None:
-        """Let leases lapse and attempts end."""
+        """End the attempts that are finished or whose leases have expired."""
         clock = self.clock(now)
         for run in list(self.runs.values()):
             if run.lease_until <= clock and run.lease_until < run.ends_at:
-                self._close(run, ended=False, failed=False, checkpoint=self._mark(run))
+                self._close(run, ended=False, failed=False, checkpoint=self._checkpoint(run))
             elif run.ends_at <= clock:
                 self._close(run, ended=True, failed=self.fails(run.start), checkpoint="")
 
     def restart(self) -> None:
-        """Come back without memory, as a new incarnation."""
+        """Restart without state, as a new incarnation."""
         for run in self.runs.values():
             self.witness.end(self.spec.name, run.start, completed=False)
         self.runs.clear()
@@ -104,10 +104,10 @@
         self.spec = replace(self.spec, incarnation=self.spec.incarnation + 1)
 
     def exchange(self, orders: ExchangeRequest, now: float) -> WorkerReport:
-        """Carry out orders meant for this incarnation, and report."""
+        """Apply the orders for this incarnation, and return a report."""
         self.tick(now)
         if orders.incarnation == self.spec.incarnation:
-            self._obey(orders, now)
+            self._apply_orders(orders, now)
         clock = self.clock(now)
         return WorkerReport(
             spec=self.spec,
@@ -120,7 +120,7 @@
             ),
         )
 
-    def _obey(self, orders: ExchangeRequest, now: float) -> None:
+    def _apply_orders(self, orders: ExchangeRequest, now: float) -> None:
         clock = self.clock(now)
         for key in orders.acknowledged:
             self.closed.pop(key, None)
@@ -150,12 +150,12 @@
     def _stop(self, key: AttemptKey) -> None:
         run = self.runs.get(key)
         if run is not None:
-            self._close(run, ended=False, failed=False, checkpoint=self._mark(run))
+            self._close(run, ended=False, failed=False, checkpoint=self._checkpoint(run))
         elif key not in self.closed:
             self.highest[key.task] = max(self.highest.get(key.task, 0), key.attempt)
             self.closed[key] = ClosedAttempt(key, False, False, False, "")
 
-    def _mark(self, run: _Run) -> str:
+    def _checkpoint(self, run: _Run) -> str:
         return f"checkpoint-{run.start.run.attempt}"
 
     def _close(self, run: _Run, *, ended: bool, failed: bool, checkpoint: str) -> None:
--- a/tests/standins/fault_proxy.py
+++ b/tests/standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on the loopback address whose connections misbehave on request."""
+"""A proxy on the loopback address whose connections fail on request."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(eq=False)
 class _Connection:
-    """One connection with its two halves.
+    """One proxied connection with its two directions.
 
     Attributes:
-        writers: Towards the caller and towards the server.
-        silent: Halves that pass nothing on for good.
+        writers: Streams to the caller and to the server.
+        silent: Directions that forward nothing any more.
     """
 
     writers: list[asyncio.StreamWriter]
@@ -25,16 +25,16 @@
 
 
 class FaultProxy:
-    """Passes bytes between callers and one server.
+    """Forwards bytes between callers and one server.
 
     Args:
         target: ``ip:port`` of the server.
 
     Attributes:
-        delay_s: Seconds by which each piece is held up.
-        cut: Directions in which nothing passes now: ``there``, ``back``; what came
-            meanwhile is lost.
-        accepted: Connections so far.
+        delay_s: Delay of each chunk in seconds.
+        cut: Directions that are cut now: ``there`` (to the server) or ``back``. Bytes that
+            arrive during a cut are lost.
+        accepted: Number of connections so far.
     """
 
     def __init__(self, target: str) -> None:
@@ -47,7 +47,7 @@
 
     @asynccontextmanager
     async def serve(self) -> AsyncIterator[str]:
-        """Listen on a free port for a while and give the address."""
+        """Listen on a free port within the context and yield the address."""
         try:
             yield await self.listen()
         finally:
@@ -66,12 +66,12 @@
                 writer.transport.abort()
 
     def silence(self) -> None:
-        """Pass nothing on any more over the connections that are open; new ones work."""
+        """Silence the open connections for good. New connections work."""
         for connection in self._open:
             connection.silent = {"there", "back"}
 
     async def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and abort all connections."""
         self._server.close()
         self.reset()
         for task in self._tasks:
@@ -81,18 +81,23 @@
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted += 1
         try:
-            ahead, onward = await asyncio.open_connection(self._host, int(self._port))
+            server_reader, server_writer = await asyncio.open_connection(
+                self._host, int(self._port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        connection = _Connection([writer, onward])
+        connection = _Connection([writer, server_writer])
         self._open.add(connection)
-        for direction, source, sink in (("there", reader, onward), ("back", ahead, writer)):
-            task = asyncio.create_task(self._pass_on(connection, direction, source, sink))
+        for direction, source, sink in (
+            ("there", reader, server_writer),
+            ("back", server_reader, writer),
+        ):
+            task = asyncio.create_task(self._forward(connection, direction, source, sink))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass_on(
+    async def _forward(
         self,
         connection: _Connection,
         direction: str,
@@ -104,7 +109,7 @@
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 if direction in self.cut:
-                    # A stream with a hole would be no stream: nothing follows either.
+                    # A stream delivers no later bytes after a gap: the direction stays silent.
                     connection.silent.add(direction)
                 if direction not in connection.silent:
                     sink.write(data)
--- a/tests/standins/fleet.py
+++ b/tests/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins and daemons as processes, for the process tests."""
+"""Starts stand-ins and daemons as processes, for the process tests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Daemon:
-    """A daemon's process and the addresses that it printed."""
+    """A daemon's process and the addresses in its log."""
 
     def __init__(self, name: str, process: Process, addresses: dict[str, str]) -> None:
         self.name = name
@@ -44,16 +44,16 @@
         self.events: list[dict[str, Any]] = []
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the daemon's process."""
         self.process.send_signal(number)
 
     def seen(self, event: int) -> list[dict[str, Any]]:
-        """Return the log lines with this event number so far."""
+        """Return the log lines so far with an event number."""
         return [line for line in self.events if line.get("event") == event]
 
 
 class Fleet:
-    """A customer's halls on loopback; use as an asynchronous context manager."""
+    """A customer's halls on the loopback address, as an asynchronous context manager."""
 
     def __init__(self, customer: str = "", *, log_dir: Path | None = None) -> None:
         self.customer = customer
@@ -101,17 +101,17 @@
         return line.decode().strip()
 
     async def add_relay(self) -> str:
-        """Start a relay to the platform that can be cut, and return its address."""
+        """Start a relay to the platform, which ``cut_relay`` cuts, and return its address."""
         line = await self._stand_in("relay", self.platform)
         address, self._relay = line.split()
         return address
 
     async def cut_relay(self, cut: bool) -> None:
-        """Cut the relay, or let it through again."""
+        """Cut the relay, or restore it."""
         await self.post(self._relay, "/cut", cut)
 
     async def add_workers(self, hall: str, count: int, *, run_s: float) -> None:
-        """Start a hall's workers and list them."""
+        """Start a hall's workers and add them to the platform's host list."""
         line = await self._stand_in("workers", hall, str(count), str(run_s))
         witness, _, addresses = line.partition(" ")
         self.witnesses[hall] = witness
@@ -119,7 +119,7 @@
             await self.list_host(name, hall, "worker", address)
 
     async def add_executors(self, hall: str, service: str, count: int, *, service_s: float) -> None:
-        """Start a service's executors in a hall and list them."""
+        """Start a service's executors in a hall and add them to the platform's host list."""
 
         async def add(name: str) -> None:
             self.executors[name] = await self._stand_in("executor", str(service_s))
@@ -137,12 +137,12 @@
         service: str = "",
         leaving: bool = False,
     ) -> None:
-        """Put a host on the platform's list."""
+        """Add a host to the platform's host list."""
         host = {"name": name, "hall": hall, "role": role, "address": address}
         await self.post(self.platform, "/hosts", {**host, "service": service, "leaving": leaving})
 
     async def add_daemon(self, role: str, hall: str, name: str, **settings: Any) -> Daemon:
-        """Start a gateway or scheduler and list it."""
+        """Start a gateway or scheduler and add it to the platform's host list."""
         quick = QUICK_SCHEDULER if role == "scheduler" else QUICK_GATEWAY
         wanted = {
             "hall": hall,
@@ -182,12 +182,12 @@
             else:
                 print(daemon.name, line.decode(), end="", file=sys.stderr)
 
-    # Requests.
+    # Requests
 
     async def call(
         self, method: str, address: str, path: str, body: Any = None, **more: Any
     ) -> tuple[int, Any]:
-        """Return the status and, where it is JSON, the value of an answer."""
+        """Send a request and return the status and the body, decoded if it is JSON."""
         data = body if isinstance(body, (bytes, type(None))) else orjson.dumps(body)
         url = f"http://{address}{path}"
         async with self.session.request(method, url, data=data, **more) as answer:
@@ -196,15 +196,15 @@
             return answer.status, orjson.loads(raw) if is_json else raw.decode()
 
     async def post(self, address: str, path: str, body: Any) -> Any:
-        """Return the value that a POST answers with."""
+        """Send a POST request and return the body of the answer."""
         return (await self.call("POST", address, path, body))[1]
 
     async def get(self, address: str, path: str) -> Any:
-        """Return the value that a GET answers with."""
+        """Send a GET request and return the body of the answer."""
         return (await self.call("GET", address, path))[1]
 
     async def publish(self, gateway: Daemon, values: dict[str, Any], change_id: str) -> int:
-        """Publish values on the version in force, and return the new version."""
+        """Publish values on top of the current version, and return the new version."""
         base = (await self.get(gateway.operator, "/config"))["version"]
         change = {"change_id": change_id, "base": base, "author": "test", "values": values}
         answer = await self.post(gateway.operator, "/config/changes", change)
@@ -220,7 +220,7 @@
         return (await self.call("GET", daemon.operator, "/readyz"))[0] == 200
 
     async def until(self, condition: Any, what: str, *, timeout_s: float = 40.0) -> None:
-        """Wait until the condition, a coroutine function, holds."""
+        """Wait until a coroutine function returns a true value."""
         try:
             async with asyncio.timeout(timeout_s):
                 while not await condition():
@@ -229,7 +229,7 @@
             raise AssertionError(f"not within {timeout_s} s: {what}") from None
 
     async def witness(self) -> dict[str, Any]:
-        """Return what all workers saw, with the violations of all."""
+        """Return the merged records and violations of all witnesses."""
         seen: dict[str, Any] = {"begun": {}, "completed": {}, "running": {}, "violations": []}
         for address in self.witnesses.values():
             part = await self.get(address, "/witness")
--- a/tests/standins/memory_store.py
+++ b/tests/standins/memory_store.py
@@ -1,4 +1,4 @@
-"""A log store in memory, with outages, lost answers and late appends to switch on."""
+"""A log store in memory, with outages, lost answers and late appends for tests to switch on."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 TIMEOUT_S = 1.0
 
 READ_RECORDS = 40
-"""Records in one answer to a read: few, so that readers see groups in parts."""
+"""Maximum records in one answer to a read: few, so that readers receive groups in parts."""
 
 LISTED_KEYS = 20
-"""Keys in one page of a listing, whose pages are no snapshot."""
+"""Maximum keys in one page of the newest records. The pages are read at different times."""
 
 
 @dataclass
@@ -47,13 +47,13 @@
     """State of the store.
 
     Attributes:
-        refusing: Hosts that get refusals.
-        silent: Hosts that get no answer, and whose calls are not done.
-        reads_take: Seconds that whole answers to reads take, by host and topic.
-        losing: Share of appends that are done and not answered.
-        late: Whether lost appends are done seconds later.
-        page_delays: Times that a host's next calls for pages of a listing take on
-            their way to the store, in seconds.
+        refusing: Hosts whose calls are refused.
+        silent: Hosts whose calls are neither carried out nor answered.
+        reads_take: Duration of answers to reads in seconds, by host and topic.
+        losing: Probability that an append is carried out but not answered.
+        late: Whether appends without an answer are carried out seconds later.
+        page_delays: Delays in seconds of a host's next calls for pages of newest records, by
+            host and partition.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -68,32 +68,32 @@
 
     @property
     def partitions(self) -> tuple[Partition, ...]:
-        """The partitions that were used."""
+        """Partitions used so far."""
         return tuple(self._logs)
 
     def log(self, partition: Partition) -> _Log:
         return self._logs[partition]
 
     def calm(self) -> None:
-        """End all troubles."""
+        """End all refusals, silences and losses."""
         self.refusing.clear()
         self.silent.clear()
         self.losing = 0.0
 
     def forget(self, partition: Partition) -> None:
-        """Drop a partition's records; the newest of each key stay."""
+        """Drop a partition's records except the newest one of each key."""
         log = self._logs[partition]
         log.first = log.end
 
     def forget_producers(self, partition: Partition) -> None:
-        """Lose track of what producers wrote: each has to begin a higher epoch."""
+        """Forget the sequences of all producers: each has to begin a higher epoch."""
         log = self._logs[partition]
         log.forgotten.update(log.epochs)
         log.epochs.clear()
         log.answers.clear()
 
     def put(self, partition: Partition, key: bytes, value: bytes) -> None:
-        """Write as the platform itself does."""
+        """Write one record without condition or producer, as the platform does."""
         self.apply(partition, [Record(value, key)], None, None)
 
     def apply(
@@ -137,7 +137,7 @@
 
 
 class StoreLink:
-    """One host's way to the store."""
+    """Link of one host to the store."""
 
     listed_keys = LISTED_KEYS
     read_records = READ_RECORDS
@@ -169,19 +169,19 @@
         at: int | None,
         producer: Producer | None,
     ) -> None:
-        def do() -> None:
+        def append_lost() -> None:
             try:
                 self._store.apply(partition, records, at, producer)
             except (OffsetConflict, ProducerFenced, ProducerGap):
-                # Its condition no longer holds: nothing is done.
+                # The condition of the append no longer holds: the store does nothing.
                 return
 
         if self._store.late:
             delay = 1.0 + 5.0 * self._store.random.random()
-            # The store does it, whatever becomes of the host that asked.
-            asyncio.get_running_loop().call_later(delay, do, context=Context())
+            # An empty context: the store appends even if the calling host stops.
+            asyncio.get_running_loop().call_later(delay, append_lost, context=Context())
         else:
-            do()
+            append_lost()
         await asyncio.sleep(TIMEOUT_S)
         raise StoreUnanswered("answer lost")
 
@@ -197,11 +197,11 @@
                     await grown.wait()
             except TimeoutError:
                 page = Page((), log.end)
-                await self._bring(partition)
+                await self._send_answer(partition)
                 return page
             await self._reach()
         page = Page(tuple(log.entries[start : start + self.read_records]), log.end)
-        await self._bring(partition)
+        await self._send_answer(partition)
         return page
 
     async def end(self, partition: Partition, start: int) -> int:
@@ -210,7 +210,7 @@
         if start < log.first:
             raise LogGap(log.first)
         end = log.end
-        await self._bring(partition)
+        await self._send_answer(partition)
         return end
 
     async def newest_records(self, partition: Partition) -> Page:
@@ -235,12 +235,12 @@
         newest = {entry.key: entry for entry in log.entries if entry.key > (after or b"")}
         rows = sorted((e for e in newest.values() if e.value), key=lambda e: e.key)
         page = KeyPage(tuple(rows[: self.listed_keys]), log.end, len(rows) > self.listed_keys)
-        await self._bring(partition)
+        await self._send_answer(partition)
         return page
 
-    async def _bring(self, partition: Partition) -> None:
-        taken = self._store.reads_take.get((self._host, partition.topic), 0.0)
-        await asyncio.sleep(max(ANSWER_S / 2, taken))
+    async def _send_answer(self, partition: Partition) -> None:
+        duration_s = self._store.reads_take.get((self._host, partition.topic), 0.0)
+        await asyncio.sleep(max(ANSWER_S / 2, duration_s))
 
     async def _reach(self) -> None:
         await asyncio.sleep(ANSWER_S / 2)
--- a/tests/standins/platform_http.py
+++ b/tests/standins/platform_http.py
@@ -1,4 +1,4 @@
-"""The platform's store and executors over HTTP, as small as the adapter's tests need."""
+"""The platform's store and executors over HTTP, reduced to what the adapter's tests need."""
 
 from __future__ import annotations
 
@@ -24,26 +24,25 @@
 from tests.standins.memory_store import MemoryStore, StoreLink
 
 MAX_READ_KB = 1_024
-"""Kilobytes of one answer where the reader names no limit."""
+"""Maximum kilobytes of one answer if the reader sets no limit."""
 
 MAX_READ_RECORDS = 100_000
-"""Records of one answer: the kilobytes decide."""
+"""Maximum records of one answer: so many that the limit in kilobytes applies first."""
 
 SILENCE_S = 30.0
-"""Time for which a lost answer's connection stays open: longer than any caller waits."""
+"""Time for which the connection of a lost answer stays open: above every caller's timeout."""
 
 
 class StoreServer:
-    """Speaks the store's protocol over a store in memory.
+    """Serves the store's protocol for a store in memory.
 
     Attributes:
-        store: The state, with its own switches.
+        store: State of the store, with its own switches for faults.
         status: Status of all answers while it is set.
-        delay_s: Seconds by which each call is held up.
-        page_keys: Most keys in one page of the newest records.
-        hosts: Which host calls at which port of the server; the store's switches
-            that name hosts go by it.
-        last_conditional: Host that last wrote under a condition.
+        delay_s: Delay of each call in seconds.
+        page_keys: Maximum keys in one page of the newest records.
+        hosts: Calling host of each server port, for the faults that apply to single hosts.
+        last_conditional: Host of the last successful conditional append.
         asked: Name and query of each call, in order.
     """
 
@@ -109,8 +108,8 @@
             page = await link.read(place, int(query["from"]), wait_s=wait_s)
         except LogGap as gap:
             return web.json_response({"first": gap.first}, status=410)
-        # History may be forgotten while a read is under way: what it brings is still
-        # numbered from where it was asked.
+        # The store may drop records during a read. The entries of the answer are still
+        # numbered from the requested offset.
         first = min(self.store.log(place).first, int(query["from"]))
         body = pack(">QQ", page.end, first)
         for entry in page.entries:
@@ -146,13 +145,13 @@
 
 
 def local_port(request: web.BaseRequest) -> int:
-    """Return the port at which a request came in."""
+    """Return the server port of a request."""
     assert request.transport
     return int(request.transport.get_extra_info("sockname")[1])
 
 
 async def no_answer() -> web.StreamResponse:
-    """Say nothing until the caller has left."""
+    """Leave a request unanswered until its caller has given up."""
     await asyncio.sleep(SILENCE_S)
     return web.Response(status=503)
 
@@ -171,7 +170,12 @@
 
 
 class ExecutorServer:
-    """Answers what it is told to and keeps what it was asked."""
+    """Returns prepared answers, and records the requests.
+
+    Attributes:
+        answers: Status and fields of the next answers, in order.
+        asked: Path, target incarnation and body of each request, in order.
+    """
 
     def __init__(self) -> None:
         self.answers: list[tuple[int, dict[str, Any]]] = []
@@ -186,7 +190,7 @@
 
 @asynccontextmanager
 async def serving(handler: Any) -> AsyncIterator[str]:
-    """Serve on a free loopback port and give its address."""
+    """Serve on a free loopback port within the context and yield the address."""
     runner = web.ServerRunner(web.Server(handler))
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
--- a/tests/standins/serve.py
+++ b/tests/standins/serve.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes: ``python -m tests.standins.serve platform|workers|executor|relay``."""
+"""Runs a stand-in: ``python -m tests.standins.serve platform|workers|executor|relay``."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def platform_app() -> web.Application:
-    """Log service, host list and their fault switches."""
+    """Return the platform's log service, host list and fault switches."""
     log = FakeLog()
     hosts: dict[str, dict[str, object]] = {}
 
@@ -81,7 +81,7 @@
 
 
 def worker_app(worker: FakeWorker, silent: set[str]) -> web.Application:
-    """One worker; while its name is in ``silent`` it answers nobody."""
+    """Return the server of one worker, which fails all calls while ``silent`` has its name."""
 
     async def exchange(request: web.Request) -> web.Response:
         orders = orders_from_json(await request.read())
@@ -95,21 +95,21 @@
 
 
 async def serve_workers(hall: str, count: int, run_s: float) -> None:
-    """Workers of a hall in one process, with one witness over all of them."""
+    """Serve the workers of a hall in one process, with one witness for all of them."""
     witness, silent = Witness(), set[str]()
-    lasting = random.Random(hall)
+    durations = random.Random(hall)
     workers = [
         FakeWorker(
             WorkerSpec(f"{hall}-w{n}", 1, Resources(32_000, 125_000), f"{hall}-rack{n // 8}"),
             witness,
-            lambda start: 1e9 if "watch" in start.kind else run_s * lasting.uniform(0.5, 1.5),
+            lambda start: 1e9 if "watch" in start.kind else run_s * durations.uniform(0.5, 1.5),
             offset=n * 1_000.0,
         )
         for n in range(count)
     ]
     addresses = {w.spec.name: await start_app(worker_app(w, silent)) for w in workers}
 
-    async def see(request: web.Request) -> web.Response:
+    async def report_witness(request: web.Request) -> web.Response:
         return _json(
             {
                 "begun": witness.begun,
@@ -125,7 +125,7 @@
         return _json({})
 
     app = web.Application()
-    app.router.add_get("/witness", see)
+    app.router.add_get("/witness", report_witness)
     app.router.add_post("/silence", silence)
     print(await start_app(app), orjson.dumps(addresses).decode(), flush=True)
     while True:
@@ -135,7 +135,7 @@
 
 
 def executor_app(service_s: float) -> web.Application:
-    """An executor that counts what it gets, and misbehaves when told to."""
+    """Return an executor that counts its requests and fails as their queries demand."""
     counts = {"requests": 0, "in_flight": 0, "most_in_flight": 0}
     keys: dict[str, int] = {}
 
@@ -185,7 +185,7 @@
 
 
 async def serve_relay(target: str) -> None:
-    """Pass connections on to a target until cut; a cut ends those that are open."""
+    """Forward connections to a target, except while cut. A cut closes the open ones."""
     host, port = target.split(":")
     writers: set[asyncio.StreamWriter] = set()
     state = {"cut": False}
@@ -221,7 +221,7 @@
 
 
 async def start_app(app: web.Application) -> str:
-    """Serve on a port that the system picks, and return the address."""
+    """Serve on a free loopback port and return the address."""
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
--- a/tests/standins/slow_link.py
+++ b/tests/standins/slow_link.py
@@ -1,4 +1,4 @@
-"""One host's link to a server: all its connections share a rate of bytes."""
+"""A proxy whose connections share a limited bandwidth, as one host's link to a server."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager, suppress
 
-CHUNK = 4_096
-"""Bytes that one connection sends before the next one's turn."""
+CHUNK_BYTES = 4_096
+"""Bytes that one connection sends before other connections get a turn."""
 
 
 class SlowLink:
-    """Passes bytes on, those of the server at a limited rate.
+    """Forwards bytes; those from the server at a limited rate.
 
     Args:
         target: ``ip:port`` of the server.
-        bytes_per_s: Rate of all connections together, towards the host.
+        bytes_per_s: Total rate of all connections, in the direction to the host.
     """
 
     def __init__(self, target: str, bytes_per_s: float) -> None:
         self._host, _, self._port = target.rpartition(":")
         self._bytes_per_s = bytes_per_s
-        self._line = asyncio.Lock()
+        self._bandwidth = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
         self._resets_at: set[int] = set()
         self.passed = 0
 
     def reset_at(self, passed: int) -> None:
-        """Break the connection that passes the given count of bytes on."""
+        """Abort the connection that forwards the byte with this number, counted over all."""
         self._resets_at.add(passed)
 
     @asynccontextmanager
     async def serve(self) -> AsyncIterator[str]:
-        """Listen on a free loopback port and give its address."""
+        """Listen on a free loopback port within the context and yield the address."""
         server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()[:2]
         try:
@@ -45,14 +45,19 @@
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         other_reader, other_writer = await asyncio.open_connection(self._host, int(self._port))
-        for work in (_pass_on(reader, other_writer), self._pass_slowly(other_reader, writer)):
-            task = asyncio.create_task(work)
+        for direction in (
+            _forward(reader, other_writer),
+            self._forward_slowly(other_reader, writer),
+        ):
+            task = asyncio.create_task(direction)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass_slowly(self, source: asyncio.StreamReader, sink: asyncio.StreamWriter) -> None:
-        while data := await source.read(CHUNK):
-            async with self._line:
+    async def _forward_slowly(
+        self, source: asyncio.StreamReader, sink: asyncio.StreamWriter
+    ) -> None:
+        while data := await source.read(CHUNK_BYTES):
+            async with self._bandwidth:
                 await asyncio.sleep(len(data) / self._bytes_per_s)
             if sink.is_closing():
                 return
@@ -65,9 +70,9 @@
         sink.close()
 
 
-async def _pass_on(source: asyncio.StreamReader, sink: asyncio.StreamWriter) -> None:
-    # A host that gives a call up resets its connection.
+async def _forward(source: asyncio.StreamReader, sink: asyncio.StreamWriter) -> None:
+    # A host that abandons a call resets its connection.
     with suppress(ConnectionError):
-        while data := await source.read(CHUNK):
+        while data := await source.read(CHUNK_BYTES):
             sink.write(data)
     sink.close()
--- a/tests/standins/stored_jobs.py
+++ b/tests/standins/stored_jobs.py
@@ -1,4 +1,4 @@
-"""Records of jobs, executors and a configuration as a store holds them."""
+"""Fills a store with records of jobs, executors and a configuration."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from tests.standins.memory_store import MemoryStore
 
 PAYLOAD_BYTES = 1_200
-"""Mean text of a job on the grown deployments."""
+"""Mean payload size of a job on large deployments."""
 
 
 def put_job(store: MemoryStore, record: JobRecord) -> None:
-    """Write a record as the host that it comes from."""
+    """Write a job record as a host does."""
     key, value = encode(record)
     store.put(JOBS, key, value)
 
 
 def live_job(number: int) -> JobSpec:
-    """Return a job of two steps."""
+    """Return a job of two steps of ten tasks each."""
     steps = (
         StepSpec(10, Demand(4_000, 8_000), 0.6),
         StepSpec(10, Demand(4_000, 8_000), 0.6, depends_on=(0,)),
@@ -31,7 +31,7 @@
 
 
 def fill_jobs(store: MemoryStore, *, live: int = 0, finished: int = 0) -> list[str]:
-    """Write jobs that run and jobs that are over, and return the ids of the first."""
+    """Write running and finished jobs, and return the ids of the running ones."""
     for number in range(finished):
         put_job(
             store,
@@ -45,7 +45,7 @@
 
 
 def fill_executors(store: MemoryStore, count: int) -> None:
-    """Write the registrations of executors."""
+    """Write the entries of executors."""
     for number in range(count):
         fields = {
             "service": "finder-api",
@@ -64,7 +64,7 @@
 
 
 def fill_configuration(store: MemoryStore, routes: int) -> None:
-    """Write a configuration with a number of routes."""
+    """Write a configuration with the given number of routes."""
     rows = [
         {
             "name": f"route-{number:05d}",
