--- a/tests/store/test_find_end.py
+++ b/tests/store/test_find_end.py
@@ -1,4 +1,9 @@
-"""Finding the end of a log whose first records the store has dropped."""
+"""Checks the search for the end of a log whose first records the store has dropped.
+
+The store answers a call from a dropped offset with the first offset it retains, and the follower
+repeats the call from there. A store whose answers name no later offset must not be called in a
+tight loop.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +20,15 @@
 THINGS = Partition("things")
 
 
-class AskedLink(StoreLink):
-    """Keeps where the end was asked from."""
+class RecordingLink(StoreLink):
+    """Records the start offset of each call for the end."""
 
     def __init__(self, store: MemoryStore) -> None:
         super().__init__(store, "h")
-        self.asked: list[int] = []
+        self.starts: list[int] = []
 
     async def end(self, partition: Partition, start: int) -> int:
-        self.asked.append(start)
+        self.starts.append(start)
         return await super().end(partition, start)
 
 
@@ -31,7 +36,7 @@
     store.apply(THINGS, [Record(b"%d" % number) for number in range(count)], None, None)
 
 
-def test_a_store_tells_where_its_records_begin_and_follows_nothing_itself() -> None:
+def test_a_store_reports_its_first_offset_and_leaves_the_second_call_to_the_caller() -> None:
     async def play() -> None:
         store = MemoryStore()
         write(store, 30)
@@ -45,40 +50,40 @@
     run_virtual(play())
 
 
-def test_a_follower_that_begins_at_the_end_follows_the_stores_word_at_once() -> None:
+def test_a_follower_that_starts_near_the_end_calls_again_from_the_first_offset_at_once() -> None:
     async def play() -> None:
         store = MemoryStore()
         write(store, 30)
         store.forget(THINGS)
         write(store, 10)
-        link = AskedLink(store)
-        taken: list[Entry] = []
-        follower = Follower(link, THINGS, on_entries=taken.extend, max_past_records=4)
+        link = RecordingLink(store)
+        received: list[Entry] = []
+        follower = Follower(link, THINGS, on_entries=received.extend, max_past_records=4)
         began = asyncio.get_running_loop().time()
         await follower.sync()
-        assert link.asked == [0, 30]
-        assert [entry.offset for entry in taken] == [36, 37, 38, 39]
+        assert link.starts == [0, 30]
+        assert [entry.offset for entry in received] == [36, 37, 38, 39]
         assert asyncio.get_running_loop().time() - began < 0.02
 
     run_virtual(play())
 
 
-class StuckLink(StoreLink):
-    """Tells of a gap whose end is never reached."""
+class EndlessGapLink(StoreLink):
+    """Answers each call for the end with a gap that begins at the requested offset."""
 
     def __init__(self, store: MemoryStore) -> None:
         super().__init__(store, "h")
-        self.asked = 0
+        self.calls = 0
 
     async def end(self, partition: Partition, start: int) -> int:
         await super().end(partition, start)
-        self.asked += 1
+        self.calls += 1
         raise LogGap(start)
 
 
-def test_a_store_that_names_no_later_record_is_asked_again_with_a_pause() -> None:
+def test_a_store_that_reports_no_later_offset_is_called_again_after_a_delay() -> None:
     async def play() -> int:
-        link = StuckLink(MemoryStore())
+        link = EndlessGapLink(MemoryStore())
         health: list[bool] = []
         follower = Follower(
             link,
@@ -87,11 +92,11 @@
             on_health=health.append,
             max_past_records=4,
         )
-        work = asyncio.create_task(follower.run())
+        running = asyncio.create_task(follower.run())
         await asyncio.sleep(6.0)
-        work.cancel()
+        running.cancel()
         assert health == [False]
-        return link.asked
+        return link.calls
 
-    # Pauses grow to 0.6 s.
+    # The delay between calls grows to 0.6 s.
     assert run_virtual(play()) <= 14
--- a/tests/store/test_listing.py
+++ b/tests/store/test_key_snapshots.py
@@ -1,4 +1,9 @@
-"""Listings of keys: whole, as of one offset, one at a time, and never over newer state."""
+"""Checks snapshots of the keys: complete, of one offset, shared, and never over newer state.
+
+The pages of newest records are read at different times, so a record that moves to another key
+between two pages is in neither. A snapshot is the pages and the records that were written while
+they were read.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +22,15 @@
 KEYED = Partition("keyed", keyed=True)
 HOST = "h"
 SECOND_PAGE_S = 1.0
-"""Time that the second page of a listing takes."""
+"""Delay of the second page of a snapshot."""
 
 
 class Reader:
-    """A follower, and what it applied."""
+    """A follower with the state and the offsets that it reported."""
 
     def __init__(self, link: StoreLink) -> None:
         self.state: dict[bytes, bytes] = {}
-        self.listed_to: list[int] = []
+        self.reset_offsets: list[int] = []
         self.offsets: list[int] = []
         self.caught_up: list[dict[bytes, bytes]] = []
         self.follower = Follower(
@@ -45,29 +50,29 @@
     def _on_reset(self, entries: tuple[Entry, ...], end: int) -> None:
         self.state = {}
         self._on_entries(entries)
-        self.listed_to.append(end)
+        self.reset_offsets.append(end)
 
     def _on_caught_up(self) -> None:
         self.offsets.append(self.follower.offset)
         self.caught_up.append(dict(self.state))
 
 
-class Links(StoreLink):
-    """A way to the store with something that happens at each call."""
+class HookedLink(StoreLink):
+    """A link to the store with callbacks before a read and after the last page of a snapshot."""
 
     def __init__(self, store: MemoryStore) -> None:
         super().__init__(store, HOST)
-        self.lists = 0
+        self.snapshot_count = 0
         self.before_read: Callable[[], None] = lambda: None
-        self.after_list: Callable[[], None] = lambda: None
+        self.after_last_page: Callable[[], None] = lambda: None
 
     async def newest_records_page(
         self, partition: Partition, *, after: bytes | None = None
     ) -> KeyPage:
-        self.lists += after is None
+        self.snapshot_count += after is None
         page = await super().newest_records_page(partition, after=after)
         if not page.more:
-            self.after_list()
+            self.after_last_page()
         return page
 
     async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
@@ -76,34 +81,34 @@
 
 
 async def read_snapshot(link: StoreLink, partition: Partition) -> tuple[tuple[Entry, ...], int]:
-    """Return the newest record of each key as a follower would take it."""
+    """Return the newest record of each key, as a follower applies it, and its offset."""
     while True:
-        listing = KeyedSnapshot(link, partition)
+        snapshot = KeyedSnapshot(link, partition)
         try:
-            await listing.read()
+            await snapshot.read()
         except LogGap:
             continue
-        newest = {entry.key: entry for entry in listing.entries}
-        return tuple(entry for entry in newest.values() if entry.value), listing.end
+        newest = {entry.key: entry for entry in snapshot.entries}
+        return tuple(entry for entry in newest.values() if entry.value), snapshot.end
 
 
-def filled(store: MemoryStore, *, keys: int = LISTED_KEYS + 1) -> None:
-    """Write so many keys that a listing takes two pages by default."""
+def fill(store: MemoryStore, *, keys: int = LISTED_KEYS + 1) -> None:
+    """Write keys, by default as many as fill one page and need a second one."""
     for number in range(keys):
         store.put(KEYED, b"k%03d" % number, b"old")
 
 
-def newest_of(store: MemoryStore) -> dict[bytes, bytes]:
+def newest_values(store: MemoryStore) -> dict[bytes, bytes]:
     state = {entry.key: entry.value for entry in store.log(KEYED).entries}
     return {key: value for key, value in state.items() if value}
 
 
-def test_a_record_that_moves_between_pages_is_in_a_snapshot() -> None:
-    """Its old key stands on a page to come, its new one on a page that was read."""
+def test_a_record_that_moves_between_pages_is_in_the_snapshot() -> None:
+    """Checks a record whose new key is on a page already read, its old key on a later page."""
 
     async def play() -> tuple[dict[bytes, bytes], dict[bytes, bytes], int, int]:
         store = MemoryStore()
-        filled(store)
+        fill(store)
         store.put(KEYED, b"s:job", b"submitted")
         store.page_delays[HOST, KEYED] = [0.0, SECOND_PAGE_S]
         reading = asyncio.create_task(read_snapshot(StoreLink(store, HOST), KEYED))
@@ -115,138 +120,138 @@
             store.put(KEYED, b"k001", b"new")
         entries, end = await reading
         read = {entry.key: entry.value for entry in entries}
-        return read, newest_of(store), end, store.log(KEYED).end
+        return read, newest_values(store), end, store.log(KEYED).end
 
     read, newest, end, log_end = run_virtual(play())
     assert read == newest
     assert end == log_end
 
 
-def test_what_is_told_after_a_listing_is_as_of_one_offset() -> None:
-    """A host that had just read the keys answered that a finished job was not there."""
+def test_the_state_after_a_snapshot_is_of_one_offset() -> None:
+    """Checks a job that finishes between two pages: else the host reports it as unknown."""
 
     async def play() -> tuple[list[dict[bytes, bytes]], dict[bytes, bytes]]:
         store = MemoryStore()
-        filled(store)
+        fill(store)
         store.put(KEYED, b"s:job", b"submitted")
         store.page_delays[HOST, KEYED] = [0.0, SECOND_PAGE_S]
         reader = Reader(StoreLink(store, HOST))
-        work = asyncio.create_task(reader.follower.run())
+        running = asyncio.create_task(reader.follower.run())
         await asyncio.sleep(SECOND_PAGE_S / 2)
         store.put(KEYED, b"f:job", b"finished")
         store.put(KEYED, b"s:job", b"")
         await asyncio.sleep(2 * SECOND_PAGE_S)
-        work.cancel()
-        return reader.caught_up, newest_of(store)
+        running.cancel()
+        return reader.caught_up, newest_values(store)
 
     caught_up, newest = run_virtual(play())
     assert caught_up
     assert all(state == newest for state in caught_up)
 
 
-def test_a_listing_whose_records_are_gone_is_made_anew() -> None:
-    """What was written during the listing cannot be read on from."""
+def test_a_snapshot_is_read_again_after_a_gap() -> None:
+    """Checks that the snapshot is read again if the store drops records written during it."""
 
     async def play() -> tuple[dict[bytes, bytes], dict[bytes, bytes], int]:
         store = MemoryStore()
-        filled(store)
-        link = Links(store)
+        fill(store)
+        link = HookedLink(store)
 
-        def lose_history() -> None:
-            if link.lists < 3:
-                store.put(KEYED, b"k000", b"new %d" % link.lists)
-                store.put(KEYED, b"late %d" % link.lists, b"1")
+        def drop_history() -> None:
+            if link.snapshot_count < 3:
+                store.put(KEYED, b"k000", b"new %d" % link.snapshot_count)
+                store.put(KEYED, b"late %d" % link.snapshot_count, b"1")
                 store.forget(KEYED)
 
-        link.after_list = lose_history
+        link.after_last_page = drop_history
         entries, _ = await read_snapshot(link, KEYED)
-        return {e.key: e.value for e in entries}, newest_of(store), link.lists
+        return {e.key: e.value for e in entries}, newest_values(store), link.snapshot_count
 
-    read, newest, lists = run_virtual(play())
+    read, newest, snapshot_count = run_virtual(play())
     assert read == newest
-    assert lists == 3
+    assert snapshot_count == 3
 
 
-def test_readers_that_wait_for_a_listing_list_no_more() -> None:
-    """Callers asked a host that had just started, and each had the keys listed again."""
+def test_readers_that_wait_for_a_snapshot_share_it() -> None:
+    """Checks that callers of a host that has just started wait for its first snapshot."""
 
     async def play() -> tuple[int, list[int], list[int]]:
         store = MemoryStore()
-        filled(store)
-        link = Links(store)
+        fill(store)
+        link = HookedLink(store)
         store.page_delays[HOST, KEYED] = [0.0, SECOND_PAGE_S]
         reader = Reader(link)
-        work = asyncio.create_task(reader.follower.run())
+        running = asyncio.create_task(reader.follower.run())
         await asyncio.sleep(SECOND_PAGE_S / 2)
         store.put(KEYED, b"k000", b"new")
         await asyncio.gather(*(reader.follower.sync() for _ in range(5)))
-        assert reader.state == newest_of(store)
+        assert reader.state == newest_values(store)
         await asyncio.sleep(SECOND_PAGE_S)
-        work.cancel()
-        return link.lists, reader.listed_to, reader.offsets
+        running.cancel()
+        return link.snapshot_count, reader.reset_offsets, reader.offsets
 
-    lists, listed_to, offsets = run_virtual(play())
-    assert lists == 1
-    assert len(listed_to) == 1
+    snapshot_count, reset_offsets, offsets = run_virtual(play())
+    assert snapshot_count == 1
+    assert len(reset_offsets) == 1
     assert offsets == sorted(offsets)
 
 
-def test_a_caller_that_leaves_in_the_middle_of_a_listing_holds_up_nobody() -> None:
+def test_a_cancelled_reader_does_not_delay_the_other_readers_of_a_snapshot() -> None:
     async def play() -> bool:
         store = MemoryStore()
-        filled(store)
+        fill(store)
         store.page_delays[HOST, KEYED] = [0.0, SECOND_PAGE_S]
         reader = Reader(StoreLink(store, HOST))
-        leaver = asyncio.create_task(reader.follower.sync())
+        leaving = asyncio.create_task(reader.follower.sync())
         await asyncio.sleep(SECOND_PAGE_S / 2)
-        waiters = [asyncio.create_task(reader.follower.sync()) for _ in range(2)]
+        waiting = [asyncio.create_task(reader.follower.sync()) for _ in range(2)]
         await asyncio.sleep(0.0)
-        leaver.cancel()
-        waiters[0].cancel()
-        await asyncio.wait_for(waiters[1], SECOND_PAGE_S)
-        return reader.state == newest_of(store) and reader.follower.ready
+        leaving.cancel()
+        waiting[0].cancel()
+        await asyncio.wait_for(waiting[1], SECOND_PAGE_S)
+        return reader.state == newest_values(store) and reader.follower.ready
 
     assert run_virtual(play())
 
 
-def test_a_listing_that_cannot_be_read_on_from_is_not_applied() -> None:
-    """The store fails between the listing and what was written during it."""
+def test_a_snapshot_whose_later_records_are_not_read_is_not_applied() -> None:
+    """Checks a store that fails between the pages and the read of records written meanwhile."""
 
     async def play() -> tuple[list[int], list[int]]:
         store = MemoryStore()
-        filled(store)
-        link = Links(store)
-        link.after_list = lambda: store.silent.add(HOST)
+        fill(store)
+        link = HookedLink(store)
+        link.after_last_page = lambda: store.silent.add(HOST)
         reader = Reader(link)
         with pytest.raises(StoreUnanswered):
             await reader.follower.sync()
-        before = list(reader.listed_to)
+        before = list(reader.reset_offsets)
         assert not reader.follower.ready
         assert reader.follower.offset < 0
-        link.after_list = lambda: None
+        link.after_last_page = lambda: None
         store.silent.clear()
         await reader.follower.sync()
-        return before, reader.listed_to
+        return before, reader.reset_offsets
 
     before, after = run_virtual(play())
     assert before == []
     assert len(after) == 1
 
 
-def test_an_empty_partition_is_listed_to_its_end() -> None:
+def test_an_empty_partition_has_an_empty_snapshot() -> None:
     async def play() -> tuple[list[int], int, bool]:
         reader = Reader(StoreLink(MemoryStore(), HOST))
         await reader.follower.sync()
-        return reader.listed_to, reader.follower.offset, reader.follower.ready
+        return reader.reset_offsets, reader.follower.offset, reader.follower.ready
 
     assert run_virtual(play()) == ([0], 0, True)
 
 
 class OvertakenLink(StoreLink):
-    """Answers of the store that overtake each other.
+    """Delays answers of the store so that they overtake each other.
 
-    A sync meets a gap; the long read of the other reader is answered past the gap, and
-    goes on from there while the listing of the first is still on its way.
+    A sync receives a gap. The long poll of the other reader is answered past the gap and
+    continues from there, while the snapshot of the sync is still delayed.
     """
 
     def __init__(self, store: MemoryStore) -> None:
@@ -266,43 +271,43 @@
         return page
 
 
-def test_a_reader_that_asked_during_the_last_answer_reads_once_more() -> None:
-    """What a listing holds is as old as the question for it, not as its answer."""
+def test_a_sync_that_begins_during_a_read_reads_once_more() -> None:
+    """Checks that an answer counts with the time of its request, not of its arrival."""
 
     async def play() -> tuple[dict[bytes, bytes], dict[bytes, bytes]]:
         store = MemoryStore()
-        filled(store, keys=3)
+        fill(store, keys=3)
         link = OvertakenLink(store)
         link.slow_s = SECOND_PAGE_S
         reader = Reader(link)
-        work = asyncio.create_task(reader.follower.run())
+        running = asyncio.create_task(reader.follower.run())
         await asyncio.sleep(SECOND_PAGE_S / 2)
         store.put(KEYED, b"k000", b"new")
         await reader.follower.sync()
         read = dict(reader.state)
-        work.cancel()
-        return read, newest_of(store)
+        running.cancel()
+        return read, newest_values(store)
 
     read, newest = run_virtual(play())
     assert read == newest
 
 
-def test_a_listing_that_another_reader_has_passed_is_not_applied() -> None:
-    """An older listing over newer state: the offset went back, and what was known with it."""
+def test_a_snapshot_older_than_the_followers_offset_is_not_applied() -> None:
+    """Checks that the offset and the state never go back to those of an older snapshot."""
 
     async def play() -> tuple[list[int], list[dict[bytes, bytes]]]:
         store = MemoryStore()
-        filled(store, keys=3)
+        fill(store, keys=3)
         link = OvertakenLink(store)
         reader = Reader(link)
-        work = asyncio.create_task(reader.follower.run())
+        running = asyncio.create_task(reader.follower.run())
         await asyncio.sleep(0.5)
         link.gap = True
-        late = asyncio.create_task(reader.follower.sync())
+        delayed_sync = asyncio.create_task(reader.follower.sync())
         await asyncio.sleep(SECOND_PAGE_S / 2)
         store.put(KEYED, b"k000", b"new")
-        await late
-        work.cancel()
+        await delayed_sync
+        running.cancel()
         return reader.offsets, reader.caught_up
 
     offsets, caught_up = run_virtual(play())
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -1,4 +1,8 @@
-"""Appends happen once and in order, whatever answers are lost."""
+"""Checks that appends are done once and in order although answers are lost.
+
+A writer that gets no answer cannot know whether the append was done. It repeats the append under
+the same sequence number, which the store carries out once. Followers receive each record once.
+"""
 
 from __future__ import annotations
 
@@ -22,31 +26,31 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("seed", range(5))
-def test_lost_answers_write_nothing_twice(seed: int, late: bool) -> None:
+def test_lost_answers_duplicate_no_record(seed: int, late: bool) -> None:
     async def play() -> MemoryStore:
         store = MemoryStore(seed)
         store.losing, store.late = 0.5, late
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=1)
-        work = asyncio.create_task(writer.run())
+        running = asyncio.create_task(writer.run())
         offsets = []
         for number in range(20):
             offsets.append(writer.write([Record(b"%d" % number)]))
             await asyncio.sleep(0.2)
-        done = await asyncio.gather(*offsets)
+        results = await asyncio.gather(*offsets)
         await asyncio.sleep(10.0)
-        work.cancel()
-        assert done == sorted(done)
+        running.cancel()
+        assert results == sorted(results)
         return store
 
     assert values(run_virtual(play())) == [b"%d" % number for number in range(20)]
 
 
-def test_an_impatient_write_fails_at_once_and_never_happens() -> None:
+def test_a_write_without_retries_fails_at_once_and_is_never_done() -> None:
     async def play() -> MemoryStore:
         store = MemoryStore()
         store.refusing.add("h")
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=1)
-        work = asyncio.create_task(writer.run())
+        running = asyncio.create_task(writer.run())
         began = asyncio.get_running_loop().time()
         patient = writer.write([Record(b"patient")])
         with pytest.raises(StoreRefused):
@@ -55,28 +59,28 @@
         store.refusing.clear()
         await patient
         await asyncio.sleep(5.0)
-        work.cancel()
+        running.cancel()
         return store
 
     assert values(run_virtual(play())) == [b"patient"]
 
 
-def test_an_impatient_write_in_doubt_is_not_called_refused() -> None:
+def test_a_write_without_retries_and_of_unknown_outcome_does_not_fail() -> None:
     async def play() -> MemoryStore:
         store = MemoryStore()
         store.losing, store.late = 1.0, True
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=1)
-        work = asyncio.create_task(writer.run())
+        running = asyncio.create_task(writer.run())
         write = writer.write([Record(b"a")], retry_refused=False)
         await asyncio.sleep(0.5)
         store.losing = 0.0
         store.refusing.add("h")
         await asyncio.sleep(2.0)
-        assert not write.done(), "it may still be done: nobody knows yet"
+        assert not write.done(), "the outcome of the append is still unknown"
         store.refusing.clear()
         await write
         await asyncio.sleep(8.0)
-        work.cancel()
+        running.cancel()
         return store
 
     assert values(run_virtual(play())) == [b"a"]
@@ -87,11 +91,11 @@
         store = MemoryStore()
         store.apply(LOG, [], None, Producer("w", 5, 1))
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=4)
-        work = asyncio.create_task(writer.run())
+        running = asyncio.create_task(writer.run())
         with pytest.raises(ProducerFenced):
             await writer.write([Record(b"a")])
         with pytest.raises(ProducerFenced):
-            await work
+            await running
 
     run_virtual(play())
 
@@ -103,7 +107,7 @@
         seen: list[Entry] = []
         link = StoreLink(store, "h")
         follower = Follower(link, LOG, on_entries=seen.extend)
-        work = asyncio.create_task(follower.run())
+        running = asyncio.create_task(follower.run())
         for number in range(30):
             store.put(LOG, b"", b"%d" % number)
             if number % 7 == 3:
@@ -113,7 +117,7 @@
                 await follower.sync()
             await asyncio.sleep(store.random.uniform(0.0, 0.6))
         await asyncio.sleep(4.0)
-        work.cancel()
+        running.cancel()
         return seen, store
 
     seen, store = run_virtual(play())
@@ -121,7 +125,7 @@
 
 
 def test_a_sync_reads_to_the_end_over_many_pages() -> None:
-    """It stopped after one page, and what lay behind it counted as not there."""
+    """Checks that a sync does not end after one page: else later records count as missing."""
 
     class SmallPages(StoreLink):
         async def read(self, partition: Partition, start: int, *, wait_s: float = 0.0) -> Page:
@@ -140,7 +144,7 @@
     assert [entry.value for entry in run_virtual(play())] == [b"%d" % n for n in range(7)]
 
 
-def test_a_keyed_follower_starts_over_after_a_gap() -> None:
+def test_a_keyed_follower_reads_a_new_snapshot_after_a_gap() -> None:
     async def play() -> None:
         store = MemoryStore()
         keyed = Partition("keyed", keyed=True)
@@ -155,7 +159,7 @@
                 state.update({e.key: e.value for e in entries}),
             )[0],
         )
-        work = asyncio.create_task(follower.run())
+        running = asyncio.create_task(follower.run())
         store.put(keyed, b"a", b"1")
         await asyncio.sleep(1.0)
         store.silent.add("h")
@@ -164,7 +168,7 @@
         store.forget(keyed)
         store.silent.clear()
         await asyncio.sleep(4.0)
-        work.cancel()
+        running.cancel()
         assert state == {b"a": b"1", b"b": b"2"}
         assert resets in ([0, 2], [1, 2])
 
