--- a/tests/platform/test_advice_client.py
+++ b/tests/platform/test_advice_client.py
@@ -1,4 +1,4 @@
-"""What the policy service is sent, and what of its answers is believed."""
+"""Checks the request to the policy service, and that malformed answers count as unreachable."""
 
 from __future__ import annotations
 
@@ -27,7 +27,9 @@
         (429, b"", None),
     ],
 )
-async def test_answers(status: int, body: bytes, expected: Advice | None) -> None:
+async def test_answers_are_decoded_or_unreachable(
+    status: int, body: bytes, expected: Advice | None
+) -> None:
     seen: list[bytes] = []
 
     async def answer(request: web.Request) -> web.Response:
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Settings, operator's records and callers' bodies, well-formed and not."""
+"""Checks the decoding of settings, records of the operator and request bodies of callers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return path
 
 
-def test_settings_are_decoded_and_unknown_fields_passed_over(tmp_path: Path) -> None:
+def test_settings_are_decoded_and_unknown_fields_ignored(tmp_path: Path) -> None:
     settings = read_settings(write(tmp_path / "s.yaml", SETTINGS))
     assert (settings.name, settings.hall, settings.shard) == ("edge-a-1", "b", 1)
     assert settings.bounds.max_lease_s == 6.0
@@ -49,18 +49,18 @@
 
 
 @pytest.mark.parametrize("field", ["nodeName", "zone", "bindAddresses", "platform", "ip"])
-def test_a_missing_setting_is_named(tmp_path: Path, field: str) -> None:
+def test_a_missing_setting_is_named_in_the_error(tmp_path: Path, field: str) -> None:
     fields = {key: value for key, value in SETTINGS.items() if key != field}
     with pytest.raises(SettingsError, match=field):
         read_settings(write(tmp_path / "s.yaml", fields))
 
 
-def test_orders_by_heartbeat_are_refused_at_the_start(tmp_path: Path) -> None:
+def test_orders_by_heartbeat_are_refused_at_startup(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="invoke"):
         read_settings(write(tmp_path / "s.yaml", {**SETTINGS, "commands": "heartbeat"}))
 
 
-def test_a_file_that_is_no_yaml_is_refused(tmp_path: Path) -> None:
+def test_a_file_without_valid_yaml_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "s.yaml"
     path.write_bytes(b"\x00: [")
     with pytest.raises(SettingsError):
@@ -97,7 +97,7 @@
     assert configuration.services["s"].guards_room
 
 
-def test_an_executors_entry_is_decoded_and_what_is_not_used_passed_over() -> None:
+def test_an_executors_entry_is_decoded_and_unused_fields_ignored() -> None:
     fields = {
         "service": "pool",
         "address": "10.2.0.7:8200",
@@ -144,7 +144,7 @@
     "steps",
     [[], [{"count": 0, "cpu": -1}], [{"dependsOn": [0]}], [{"count": 10**6}], "x", None],
 )
-def test_impossible_jobs_are_refused(steps: object) -> None:
+def test_invalid_jobs_are_refused(steps: object) -> None:
     with pytest.raises(InvalidInput):
         job_from_wire("00", "q", orjson.dumps({"steps": steps}))
 
@@ -172,8 +172,8 @@
         job_from_wire("00", "q", body)
 
 
-def test_an_executor_that_stays_beyond_its_time_still_drains() -> None:
-    """It serves on for a while after its time is over; its record was passed over then."""
+def test_an_executor_past_its_remaining_time_is_still_draining() -> None:
+    """Checks the entry of an executor that serves on after its announced time has passed."""
     fields = {**EXECUTOR, "state": "draining", "remainingMs": -40}
     leaving = executor_from_wire("e1", orjson.dumps(fields))
     assert (leaving.draining, leaving.remaining_s) == (True, 0.0)
--- a/tests/platform/test_executor_client.py
+++ b/tests/platform/test_executor_client.py
@@ -1,4 +1,4 @@
-"""The executors' client: what is sent, and what each answer means."""
+"""Checks the requests of the executors' client, and the meaning of each answer."""
 
 from __future__ import annotations
 
@@ -28,6 +28,8 @@
 
 
 class Setup:
+    """A client of executors with its server and the server's address."""
+
     def __init__(self, client: ExecutorClient, server: ExecutorServer, address: str) -> None:
         self.client = client
         self.server = server
@@ -41,7 +43,7 @@
         yield Setup(ExecutorClient(session, 7, timeout_s=1.0), server, address)
 
 
-def test_task_names_come_back() -> None:
+def test_task_names_round_trip() -> None:
     assert task_from_wire(task_to_wire(TASK)) == TASK
 
 
@@ -78,7 +80,7 @@
         (503, {}, StartOutcome.UNHEALTHY),
     ],
 )
-async def test_refused_starts(
+async def test_each_refused_start_has_its_outcome(
     setup: Setup, status: int, fields: dict[str, Any], outcome: StartOutcome
 ) -> None:
     setup.server.answers.append((status, fields))
@@ -102,13 +104,13 @@
     assert body == {"fencingToken": 7, "lastSeen": 57, "untilMs": 486000, "waitMs": 1000}
 
 
-async def test_a_newer_owner_fences(setup: Setup) -> None:
+async def test_a_call_after_a_newer_owners_is_fenced(setup: Setup) -> None:
     setup.server.answers.append((409, {"clockMs": 1, "reason": "fence"}))
     with pytest.raises(Fenced):
         await setup.client.stop(setup.address, StopOrder("i-1", TASK, 2))
 
 
-async def test_another_incarnation_is_told_apart(setup: Setup) -> None:
+async def test_a_call_for_another_incarnation_is_refused(setup: Setup) -> None:
     setup.server.answers.append((421, {}))
     with pytest.raises(WrongIncarnation):
         await setup.client.pace(setup.address, PaceOrder("i-1", TASK, 2, 40))
@@ -122,7 +124,7 @@
 
 
 @pytest.mark.parametrize(("ends", "whole"), [(499, True), (500, False)])
-async def test_a_report_with_as_many_ends_as_fit_is_not_whole(
+async def test_a_report_with_the_maximum_of_ends_is_incomplete(
     setup: Setup, ends: int, whole: bool
 ) -> None:
     rows = [[n + 1, task_to_wire(TASK), 1, "done", ""] for n in range(ends)]
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -1,4 +1,8 @@
-"""Connections that go silent without a reset: each call is bounded, and new ones work."""
+"""Checks calls over connections that go silent without a reset.
+
+A network failure can leave a pooled connection open that delivers nothing. Each call must end after
+its timeout and discard the connection, so that later calls use a new one.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +27,11 @@
 from tests.standins.platform_http import StoreServer, serving
 
 TIMEOUT_S = 0.5
-"""Bound on each call here. A sound call must make it also on a busy machine: 0.2 s were
-too short once, for three first calls at a time beside a load of 34 on 16 cores."""
+"""Timeout of each call here. A regular call must finish within it also on a busy machine: 0.2 s
+was too short once, for three concurrent first calls at a load of 34 on 16 cores."""
 
 POOLED = 3
-"""Connections that are idle when the silence begins: each may cost one call."""
+"""Idle connections when the silence begins. Each may fail one call."""
 
 TASK = TaskName("5c0e7a21d94b36f8", 0, 0, 0)
 Call = Callable[[aiohttp.ClientSession, str], Awaitable[object]]
@@ -74,7 +78,7 @@
 
 
 @pytest.mark.parametrize("name", CALLS)
-async def test_a_silent_connection_costs_its_bound_and_no_more(name: str) -> None:
+async def test_a_silent_connection_fails_one_call_within_its_timeout(name: str) -> None:
     call = CALLS[name]
     async with serving(_answer) as target, aiohttp.ClientSession() as session:
         proxy = FaultProxy(target)
--- a/tests/platform/test_start_times.py
+++ b/tests/platform/test_start_times.py
@@ -1,4 +1,9 @@
-"""Births at the edge: read strictly, split off for calls, put behind ids that come back."""
+"""Checks start times of executors in entries, reports, calls and policy requests.
+
+Inside the product an executor's name is its id with the start time of its incarnation. Services
+outside know only the id. A malformed start time would attribute a report or an entry to the wrong
+incarnation, so that it must be rejected.
+"""
 
 from __future__ import annotations
 
@@ -24,15 +29,15 @@
 from tests.shard.builders import submitted
 from tests.standins.platform_http import ExecutorServer, serving
 
-LIFE = "i-1@1700000000123"
+INCARNATION = "i-1@1700000000123"
 TASK = TaskName("5c0e7a21d94b36f8", 0, 1, 17)
 
-ODD = ["1700000000123", 1.5, 1700000000123.0, -1, True, [1], {"at": 1}, 2**60]
-"""Births that name nothing; one that is missing is another matter."""
+MALFORMED = ["1700000000123", 1.5, 1700000000123.0, -1, True, [1], {"at": 1}, 2**60]
+"""Malformed start times. A missing start time is treated differently."""
 
 
-class Called:
-    """An executor's client and what it was asked."""
+class ServedClient:
+    """A client of executors and the server that records its requests."""
 
     def __init__(self, client: ExecutorClient, server: ExecutorServer, address: str) -> None:
         self._client = client
@@ -41,86 +46,90 @@
 
     @property
     def client(self) -> ExecutorClient:
-        """The client."""
+        """Client under test."""
         return self._client
 
     @property
     def address(self) -> str:
-        """Where the executor is."""
+        """Address of the executor."""
         return self._address
 
-    async def look(self, life: str = LIFE, **fields: Any) -> ExecutorReport:
-        """Return the report of an answer with some fields."""
+    async def poll(self, incarnation: str = INCARNATION, **fields: Any) -> ExecutorReport:
+        """Poll an executor incarnation whose answer has the given fields, and return the report."""
         body = {"clockMs": 1, "running": [], "ended": [], **fields}
         self.server.answers.append((200, body))
         return await self._client.renew(
-            self._address, life, acknowledged=0, until_s=None, wait_s=0.0
+            self._address, incarnation, acknowledged=0, until_s=None, wait_s=0.0
         )
 
 
 @pytest_asyncio.fixture
-async def called() -> AsyncIterator[Called]:
+async def served() -> AsyncIterator[ServedClient]:
     server = ExecutorServer()
     async with serving(server.handle) as address, aiohttp.ClientSession() as session:
-        yield Called(ExecutorClient(session, 7, timeout_s=1.0), server, address)
+        yield ServedClient(ExecutorClient(session, 7, timeout_s=1.0), server, address)
 
 
 def entry(**fields: object) -> bytes:
-    """Return an entry without a birth, but for some fields."""
-    sound = {name: value for name, value in EXECUTOR.items() if name != "born"}
-    return orjson.dumps({**sound, **fields})
+    """Return an entry without a start time, with some fields changed."""
+    well_formed = {name: value for name, value in EXECUTOR.items() if name != "born"}
+    return orjson.dumps({**well_formed, **fields})
 
 
-def test_an_entry_names_a_life() -> None:
-    assert executor_from_wire("i-1", entry(born=1_700_000_000_123)).executor_id == LIFE
+def test_an_entry_with_a_start_time_names_an_incarnation() -> None:
+    assert executor_from_wire("i-1", entry(born=1_700_000_000_123)).executor_id == INCARNATION
 
 
-def test_an_entry_without_a_birth_names_its_id() -> None:
+def test_an_entry_without_a_start_time_names_its_id() -> None:
     assert executor_from_wire("i-1", entry()).executor_id == "i-1"
 
 
-@pytest.mark.parametrize("born", ODD)
-def test_an_entry_with_an_odd_birth_names_none(born: object) -> None:
+@pytest.mark.parametrize("born", MALFORMED)
+def test_an_entry_with_a_malformed_start_time_is_refused(born: object) -> None:
     with pytest.raises(RecordError):
         executor_from_wire("i-1", entry(born=born))
 
 
-def test_an_id_that_reads_like_a_life_names_none() -> None:
+def test_an_id_in_the_form_of_an_incarnation_is_refused() -> None:
     with pytest.raises(RecordError):
         executor_from_wire("i-1@5", entry())
 
 
-async def test_a_report_tells_whose_it_is(called: Called) -> None:
-    assert (await called.look(born=1_700_000_009_000)).started_at_ms == 1_700_000_009_000
+async def test_a_report_has_the_start_time_of_its_incarnation(served: ServedClient) -> None:
+    assert (await served.poll(born=1_700_000_009_000)).started_at_ms == 1_700_000_009_000
 
 
-@pytest.mark.parametrize("born", ODD)
-async def test_a_report_with_an_odd_birth_is_none(called: Called, born: object) -> None:
+@pytest.mark.parametrize("born", MALFORMED)
+async def test_a_report_with_a_malformed_start_time_is_no_answer(
+    served: ServedClient, born: object
+) -> None:
     with pytest.raises(Unreachable):
-        await called.look(born=born)
+        await served.poll(born=born)
 
 
-async def test_a_report_without_a_birth_is_none_where_one_stood(called: Called) -> None:
+async def test_a_report_without_a_start_time_is_no_answer_if_the_entry_has_one(
+    served: ServedClient,
+) -> None:
     with pytest.raises(Unreachable):
-        await called.look()
-    assert (await called.look("i-1")).started_at_ms is None
+        await served.poll()
+    assert (await served.poll("i-1")).started_at_ms is None
 
 
-async def test_calls_name_the_id_alone(called: Called) -> None:
-    await called.look(born=5)
-    called.server.answers += [(200, {"clockMs": 1})] * 3
-    start, stop = StartOrder(LIFE, TASK, 2, "text", ""), StopOrder(LIFE, TASK, 2)
-    await called.client.start(called.address, start, until_s=1.0)
-    await called.client.stop(called.address, stop)
-    await called.client.pace(called.address, PaceOrder(LIFE, TASK, 2, 50))
-    assert [target for _, target, _ in called.server.asked] == ["i-1"] * 4
+async def test_calls_contain_only_the_id(served: ServedClient) -> None:
+    await served.poll(born=5)
+    served.server.answers += [(200, {"clockMs": 1})] * 3
+    start, stop = StartOrder(INCARNATION, TASK, 2, "text", ""), StopOrder(INCARNATION, TASK, 2)
+    await served.client.start(served.address, start, until_s=1.0)
+    await served.client.stop(served.address, stop)
+    await served.client.pace(served.address, PaceOrder(INCARNATION, TASK, 2, 50))
+    assert [target for _, target, _ in served.server.asked] == ["i-1"] * 4
 
 
-async def test_a_policy_is_asked_for_ids_and_its_tickets_are_a_lifes() -> None:
-    asked: list[bytes] = []
+async def test_a_policy_request_has_ids_and_its_tickets_belong_to_incarnations() -> None:
+    requests: list[bytes] = []
 
     async def answer(request: web.Request) -> web.Response:
-        asked.append(await request.read())
+        requests.append(await request.read())
         return web.json_response({"good": [["i-1", "ticket"]]})
 
     app = web.Application()
@@ -128,6 +137,6 @@
     run = new_run(ShardJob(submitted(step(1))), 0)
     async with TestServer(app) as server, aiohttp.ClientSession() as session:
         client = AdviceClient(session, f"{server.host}:{server.port}")
-        advice = await client.advise(run.steps[0], (LIFE, "i-2@7"))
-    assert orjson.loads(asked[0])["workers"] == ["i-1", "i-2"]
-    assert advice.tickets == {LIFE: "ticket"}
+        advice = await client.advise(run.steps[0], (INCARNATION, "i-2@7"))
+    assert orjson.loads(requests[0])["workers"] == ["i-1", "i-2"]
+    assert advice.tickets == {INCARNATION: "ticket"}
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""The store's client against a server that speaks its protocol."""
+"""Checks the store's client against a server of the store's protocol."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         yield StoreClient(session, address, timeout_s=1.0), server
 
 
-async def test_records_come_back_as_written(setup: tuple[StoreClient, StoreServer]) -> None:
+async def test_records_are_read_as_written(setup: tuple[StoreClient, StoreServer]) -> None:
     client, _ = setup
     assert await client.append(PLAIN, [Record(b"a"), Record(b"bc")]) == Appended(0, 2)
     page = await client.read(PLAIN, 0)
@@ -78,7 +78,7 @@
     assert fenced.value.epoch == 3
 
 
-async def test_forgotten_records_are_a_gap(setup: tuple[StoreClient, StoreServer]) -> None:
+async def test_a_read_of_dropped_records_is_a_gap(setup: tuple[StoreClient, StoreServer]) -> None:
     client, server = setup
     await client.append(PLAIN, [Record(b"a"), Record(b"b")])
     server.store.forget(PLAIN)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 507])
-async def test_refusals_say_that_nothing_was_done(
+async def test_a_refusal_means_that_nothing_was_done(
     setup: tuple[StoreClient, StoreServer], status: int
 ) -> None:
     client, server = setup
@@ -98,7 +98,7 @@
     assert refused.value.status == status
 
 
-async def test_other_failures_leave_the_outcome_open(
+async def test_the_outcome_of_other_failures_is_unknown(
     setup: tuple[StoreClient, StoreServer],
 ) -> None:
     client, server = setup
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"\0" * 15, b"\0" * 18, b"\0" * 16 + b"\0\0\0\x09a"])
-async def test_a_cut_answer_is_no_answer(body: bytes) -> None:
+async def test_a_truncated_answer_is_no_answer(body: bytes) -> None:
     async def handle(_request: web.BaseRequest) -> web.StreamResponse:
         return web.Response(body=body)
 
@@ -125,7 +125,7 @@
             await client.read(KEYED, 0)
 
 
-async def test_an_answer_that_keeps_coming_is_still_bounded_as_a_whole() -> None:
+async def test_an_endless_answer_ends_at_the_limit_on_its_duration() -> None:
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         answer = web.StreamResponse()
         await answer.prepare(request)
@@ -141,8 +141,8 @@
         assert 0.4 < time.monotonic() - began < 2.0
 
 
-async def test_a_read_asks_for_room_for_the_largest_record() -> None:
-    """A page smaller than one record could never bring it."""
+async def test_a_read_requests_pages_that_fit_the_largest_record() -> None:
+    """Checks that the requested page size fits the largest record: else it is never read."""
     server = StoreServer()
     async with serving(server.handle) as address, aiohttp.ClientSession() as session:
         client = StoreClient(session, address)
@@ -153,7 +153,9 @@
     assert page.end == 2
 
 
-async def test_the_end_is_told_without_the_records(setup: tuple[StoreClient, StoreServer]) -> None:
+async def test_the_end_is_returned_without_the_records(
+    setup: tuple[StoreClient, StoreServer],
+) -> None:
     client, _ = setup
     assert await client.end(PLAIN, 0) == 0
     await client.append(PLAIN, [Record(b"x" * 4_000) for _ in range(30)])
@@ -161,7 +163,7 @@
     assert await client.end(PLAIN, 20) == 30
 
 
-async def test_where_the_records_begin_is_told_and_not_followed(
+async def test_the_end_before_the_first_record_is_a_gap(
     setup: tuple[StoreClient, StoreServer],
 ) -> None:
     client, server = setup
