--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -1,4 +1,8 @@
-"""Job records: what is written comes back, and readers agree in any order."""
+"""Checks that job records decode to what was encoded, and that readers agree in any order.
+
+Hosts submit the same job at the same time and read records in different orders, for example from a
+snapshot of the keys. All of them must find the same submission in force.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +50,7 @@
     steps=st.lists(steps, min_size=1, max_size=3).map(tuple),
     schedule=st.none() | st.builds(Schedule, st.integers(1, 5), st.floats(0, 9), st.floats(0, 9)),
 )
-loans = st.lists(
+delegations = st.lists(
     st.builds(Delegation, st.integers(0, 3), st.integers(0, 9), st.integers(1, 5)), max_size=3
 ).map(tuple)
 ids = st.sampled_from(("0a", "0b"))
@@ -55,8 +59,8 @@
 records = st.one_of(
     submissions,
     st.builds(Moved, ids, shards),
-    st.builds(Delegated, ids, shards, loans),
-    st.builds(Returned, ids, shards, loans),
+    st.builds(Delegated, ids, shards, delegations),
+    st.builds(Returned, ids, shards, delegations),
     st.builds(Cancelled, ids),
     st.builds(Begun, ids),
     st.builds(Finished, ids, st.sampled_from(JobState), shards, st.floats(0, 2e9), st.just("q")),
@@ -111,7 +115,7 @@
     assert catalog.waiting("q") == 0
 
 
-def test_returned_loans_are_closed() -> None:
+def test_returned_delegations_are_closed() -> None:
     catalog = JobCatalog()
     spec = JobSpec("0a", "q", "", (StepSpec(2, standing=True),))
     catalog.apply(0, Submitted(spec, 0, 0.0, "h1"))
@@ -127,12 +131,12 @@
         decode(key, b"7")
 
 
-def test_a_loan_tells_of_crashes_to_those_who_know_of_them() -> None:
-    """Earlier versions read the first three fields; what they write has no others."""
-    lent = Delegated(
+def test_a_delegation_has_crash_fields_that_old_versions_omit() -> None:
+    """Checks that a delegation may have crash fields after the three that old versions use."""
+    delegated = Delegated(
         "0a", 1, (Delegation(0, 0, 1, crash_count=2, crash_score=6), Delegation(0, 1, 1))
     )
-    key, value = encode(lent)
+    key, value = encode(delegated)
     assert json.loads(value) == [[0, 0, 1, 2, 6], [0, 1, 1]]
     read = decode(key, value)
     assert isinstance(read, Delegated)
@@ -141,4 +145,6 @@
     ] == [(2, 6), (0, 0)]
     earlier = decode(key, b"[[0,0,1]]")
     assert isinstance(earlier, Delegated) and earlier.delegations == (Delegation(0, 0, 1),)
-    assert earlier.delegations[0] == lent.delegations[0], "what names a loan is not what it tells"
+    assert earlier.delegations[0] == delegated.delegations[0], (
+        "crash fields are not part of a delegation's identity"
+    )
