--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Input that is malformed, cut, huge, of the wrong type or from a newer version."""
+"""Tests of decoders and hosts with malformed, truncated, huge, mistyped or newer input."""
--- a/tests/fuzz/answers.py
+++ b/tests/fuzz/answers.py
@@ -6,8 +6,8 @@
 from types import TracebackType
 from typing import Any
 
-MOST_CALLS = 50
-"""Calls after which whoever asks would never end."""
+MAX_CALLS = 50
+"""Calls after which a client is considered to repeat a call for ever."""
 
 
 class _Content:
@@ -19,7 +19,7 @@
 
 
 class FixedAnswer:
-    """An answer, and the context that a call gives."""
+    """An HTTP answer that is its own asynchronous context manager."""
 
     def __init__(self, status: int, body: bytes) -> None:
         self.status = status
@@ -42,7 +42,7 @@
 
 
 class FixedSession:
-    """Stands in for an HTTP client's session.
+    """Stand-in for an HTTP client's session.
 
     Args:
         status: Status of all answers.
@@ -61,5 +61,5 @@
 
     def request(self, _method: str, url: str, **_fields: Any) -> FixedAnswer:
         self.urls.append(url)
-        assert len(self.urls) < MOST_CALLS, "asked again and again"
+        assert len(self.urls) < MAX_CALLS, "the client repeats its calls without end"
         return self.answer
--- a/tests/fuzz/builders.py
+++ b/tests/fuzz/builders.py
@@ -1,4 +1,4 @@
-"""Sound samples of all that is decoded, and strategies that damage them."""
+"""Well-formed samples of all decoded inputs, and strategies that damage them."""
 
 from __future__ import annotations
 
@@ -141,13 +141,13 @@
     [1, [3, 1, "c", [[2, "e1", 5_000]], 0, 1, 2, [[1, "e2", 4_000]], [[1, 2, 1, "e2", 4_000]]]],
     [[-2, 1, 4, 1, 2, [[1, 2, 0, "e3"]]]],
 ]
-"""Progress of two tasks, one lent task behind them."""
+"""Progress of two tasks, followed by one delegated task."""
 
 EXAMPLES = 200
-"""Enough to reach each field of a sample several times."""
+"""Examples of each test: enough to damage each field of a sample several times."""
 
 DEPTH = 3_000
-"""Levels of nesting past what any decoder follows."""
+"""Levels of nesting, more than any decoder follows."""
 
 _ODD: list[Any] = [
     None,
@@ -180,16 +180,16 @@
 
 class _Missing:
     def __repr__(self) -> str:
-        # Names of tests have to be the same in all processes that run them.
+        # Part of the ids of tests, which must be the same in all processes of a parallel run.
         return "missing"
 
 
 MISSING = _Missing()
-"""Stands for a part that is left out."""
+"""Marks a part that is omitted."""
 
 
 def with_part(sample: dict[str, Any], path: tuple[str, ...], part: object) -> dict[str, Any]:
-    """Return a sample in which one part is another, or missing."""
+    """Return a copy of a sample in which one part is replaced or omitted."""
     kind = "drop" if part is MISSING else "replace"
     changed: dict[str, Any] = _damaged(sample, path, kind, part)
     return changed
@@ -263,15 +263,15 @@
 
 
 _NAMES = {
-    named.__name__: named
-    for named in (Crash, Demand, TaskName, EndKind, JobSpec, StepSpec, QueueTerms, AdviceRule)
+    record_type.__name__: record_type
+    for record_type in (Crash, Demand, TaskName, EndKind, JobSpec, StepSpec, QueueTerms, AdviceRule)
 }
 
 
 def unsound(value: Any, hint: Any, where: str = "") -> str:
-    """Return what in a decoded value is not of its declared type, empty if all is.
+    """Describe the parts of a decoded value that are not of their declared types, empty if none.
 
-    Numbers have to be finite: others break each comparison behind them.
+    Numbers have to be finite: infinity and NaN break later comparisons.
     """
     origin, args = get_origin(hint), get_args(hint)
     if hint is Any:
@@ -290,31 +290,31 @@
     if origin is dict or origin is Mapping:
         if not isinstance(value, dict):
             return f"{where}: {value!r:.60}"
-        both = [unsound(key, args[0], where) for key in value]
-        both += [unsound(inner, args[1], where) for inner in value.values()]
-        return "; ".join(filter(None, both))
+        problems = [unsound(key, args[0], where) for key in value]
+        problems += [unsound(inner, args[1], where) for inner in value.values()]
+        return "; ".join(filter(None, problems))
     return _unsound_plain(value, hint, where)
 
 
 def _unsound_plain(value: Any, hint: Any, where: str) -> str:
-    wrong = f"{where}: {value!r:.60}"
+    problem = f"{where}: {value!r:.60}"
     if hint in (None, NoneType):
-        return "" if value is None else wrong
+        return "" if value is None else problem
     if hint is float:
-        plain = isinstance(value, int | float) and not isinstance(value, bool)
-        return "" if plain and math.isfinite(value) else wrong
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        return "" if is_number and math.isfinite(value) else problem
     if hint is int:
-        plain = isinstance(value, int) and not isinstance(value, bool)
-        return "" if plain and abs(value) < 2**63 else wrong
+        is_number = isinstance(value, int) and not isinstance(value, bool)
+        return "" if is_number and abs(value) < 2**63 else problem
     if not isinstance(value, hint):
-        return wrong
+        return problem
     if issubclass(hint, Enum) or not (is_dataclass(hint) or hasattr(hint, "_fields")):
         return ""
     return unsound_fields(value)
 
 
 def unsound_fields(value: Any) -> str:
-    """Return what in a decoded record is not of its declared type, empty if all is."""
+    """Describe the fields of a decoded record that are not of their types, empty if none."""
     kind = type(value)
     hints = get_type_hints(kind, localns=_NAMES)
     names = kind._fields if hasattr(kind, "_fields") else kind.__dataclass_fields__
@@ -325,7 +325,7 @@
 
 
 def check(decoder: Callable[[Any], Any], given_value: Any, *errors: type[LinkspanError]) -> None:
-    """Decode, and look whether what comes of it is of its declared types."""
+    """Decode a value, and check that the result has the declared types or one of the errors."""
     try:
         found = decoder(given_value)
     except errors:
--- a/tests/fuzz/test_callers.py
+++ b/tests/fuzz/test_callers.py
@@ -1,4 +1,7 @@
-"""Callers' bodies: a sound job, or a refusal that says why."""
+"""Checks that each request body of a caller is decoded as a valid job or refused.
+
+An accepted job with invalid values, such as an infinite duration, would stop the owner of its hall.
+"""
 
 from __future__ import annotations
 
@@ -31,13 +34,13 @@
         {"antiAffinity": -1},
     ],
 )
-def test_a_step_that_would_stop_its_hall_is_refused(fields: dict[str, object]) -> None:
+def test_a_step_with_values_that_stop_an_owner_is_refused(fields: dict[str, object]) -> None:
     body = json.dumps({"steps": [{"count": 1, "cpu": 100, **fields}]}).encode()
     with pytest.raises(InvalidInput):
         job_from_wire("0a", "q", body)
 
 
-def test_more_repetitions_than_an_owner_can_hold_are_refused() -> None:
+def test_more_repetitions_than_an_owner_has_memory_for_are_refused() -> None:
     most = MAX_REPEATED_TASKS // 2
     body = {"steps": [{"count": 2}], "repeatCount": most, "intervalMs": 1}
     assert job_from_wire("0a", "q", json.dumps(body).encode()).repetitions == most
--- a/tests/fuzz/test_entries.py
+++ b/tests/fuzz/test_entries.py
@@ -1,4 +1,8 @@
-"""Records of the operator and of executors: sound, or passed over."""
+"""Checks that each record of the operator or an executor is decoded as valid or skipped.
+
+A record with a missing or mistyped field must not reach a plan: its owner would start tasks at a
+wrong address or beyond a capacity.
+"""
 
 from __future__ import annotations
 
@@ -30,21 +34,21 @@
 SIZES = (("capacity", "cpu"), ("capacity", "memMb"), ("capacity", "gpu"))
 LISTS = (("labels",),)
 OBJECTS = (("capacity",),)
-ODD: list[tuple[tuple[tuple[str, ...], ...], list[object]]] = [
+MISTYPED: list[tuple[tuple[tuple[str, ...], ...], list[object]]] = [
     (TEXTS, [MISSING, None, "", 7, True, ["pool"], {}]),
     (COUNTS + SIZES, [MISSING, None, "7", True, -1, [7], {}]),
     (LISTS, [MISSING, None, "kind-a", 7, {}, ["kind-a", 7], [None]]),
     (OBJECTS, [MISSING, None, "8000", 7, [8000, 32000, 1]]),
 ]
-"""Fields that each executor tells of itself, and what is none of their type."""
+"""Paths of the required fields of an entry, and values that are not of their type."""
 
 
 @pytest.mark.parametrize(
     ("path", "odd"),
-    [(path, odd) for paths, values in ODD for path in paths for odd in values],
+    [(path, odd) for paths, values in MISTYPED for path in paths for odd in values],
     ids=repr,
 )
-def test_an_entry_with_a_field_missing_or_of_another_type_names_no_executor(
+def test_an_entry_with_a_missing_or_mistyped_field_is_refused(
     path: tuple[str, ...], odd: object
 ) -> None:
     entry = json.dumps(with_part(builders.EXECUTOR, path, odd)).encode()
@@ -53,7 +57,7 @@
 
 
 @pytest.mark.parametrize("state", ["retired", "", "READY", 7, None, ["ready"], {"ready": 1}])
-def test_an_entry_of_a_state_that_is_not_known_names_no_executor(state: object) -> None:
+def test_an_entry_with_an_unknown_state_is_refused(state: object) -> None:
     entry = json.dumps({**builders.EXECUTOR, "state": state}).encode()
     with pytest.raises(RecordError):
         executor_from_wire("e1", entry)
@@ -62,12 +66,12 @@
 @pytest.mark.parametrize(
     "address", ["", "10.2.0.7", "10.2.0.7:", ":8200", "10.2.0.7:port", "a b:1"]
 )
-def test_an_entry_without_an_address_to_call_names_no_executor(address: str) -> None:
+def test_an_entry_without_a_valid_address_is_refused(address: str) -> None:
     entry = json.dumps({**builders.EXECUTOR, "address": address}).encode()
     with pytest.raises(RecordError):
         executor_from_wire("e1", entry)
 
 
-def test_an_entry_with_fields_of_a_later_version_is_read() -> None:
+def test_an_entry_with_fields_of_a_later_version_is_decoded() -> None:
     entry = json.dumps({**builders.EXECUTOR, "fieldOfLater": {"x": 1}}).encode()
     assert executor_from_wire("e1", entry).service == "pool"
--- a/tests/fuzz/test_job_records.py
+++ b/tests/fuzz/test_job_records.py
@@ -1,4 +1,4 @@
-"""Job records: sound, or passed over."""
+"""Checks that each job record is decoded as valid or skipped, and that no key breaks a catalog."""
 
 from __future__ import annotations
 
--- a/tests/fuzz/test_service_answers.py
+++ b/tests/fuzz/test_service_answers.py
@@ -1,4 +1,8 @@
-"""Answers of executors, of the machine service and of policies: sound, or none."""
+"""Checks answers of executors, the machine service and policies: valid, or no answer.
+
+A call with a malformed answer must end with the error of an unanswered call, which every caller
+handles, and never with another exception.
+"""
 
 from __future__ import annotations
 
@@ -56,7 +60,7 @@
     check(asyncio.run, stop, Unreachable, Fenced)
 
 
-def test_an_end_of_a_later_version_is_neither_done_nor_failed() -> None:
+def test_an_end_of_an_unknown_kind_counts_as_stopped() -> None:
     body = b'{"clockMs":5,"ended":[[1,"0a.0.0.0",2,"swapped","",{"why":"later"}]]}'
     (end,) = asyncio.run(look(200, body)).ended
     assert (end.task, end.run, end.kind) == (TASK, 2, EndKind.STOPPED)
@@ -69,7 +73,7 @@
     check(asyncio.run, client.machines(), Unreachable)
 
 
-def test_a_machine_list_without_an_end_is_no_answer() -> None:
+def test_a_machine_list_with_endless_pages_is_no_answer() -> None:
     client = MachineClient(FixedSession(200, b'{"nextToken":"t"}'), "m")  # type: ignore[arg-type]
     with pytest.raises(Unreachable):
         asyncio.run(client.machines())
--- a/tests/fuzz/test_settings_file.py
+++ b/tests/fuzz/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file: sound settings, or a refusal at the start."""
+"""Checks that each settings file is decoded as valid settings or refused at startup."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 
 @pytest.fixture(autouse=True, scope="module")
-def scratch(tmp_path_factory: pytest.TempPathFactory) -> None:
+def settings_path(tmp_path_factory: pytest.TempPathFactory) -> None:
+    """Provide the path of the settings file for all tests of the module."""
     _PATHS.append(tmp_path_factory.mktemp("settings") / "settings.yaml")
 
 
@@ -54,7 +55,7 @@
 
 
 @pytest.mark.parametrize("ports", [None, "9000-9010", {"from": 9000}, [9000], [1, 2, 3]])
-def test_ports_that_nothing_uses_hold_no_start_up(ports: object) -> None:
+def test_an_unused_malformed_port_range_does_not_prevent_startup(ports: object) -> None:
     path = _PATHS[0]
     path.write_text(json.dumps({**builders.SETTINGS, "internalPortRange": ports}))
     assert read_settings(path).peer_ports == (0, 0)
--- a/tests/fuzz/test_shard_records.py
+++ b/tests/fuzz/test_shard_records.py
@@ -1,4 +1,4 @@
-"""Records of ownership and progress: sound, or passed over."""
+"""Checks that each record of ownership or progress is decoded as valid or skipped."""
 
 from __future__ import annotations
 
--- a/tests/fuzz/test_store_answers.py
+++ b/tests/fuzz/test_store_answers.py
@@ -1,4 +1,8 @@
-"""Answers of the store: sound, or as if there had been none."""
+"""Checks answers of the store: valid, or treated as no answer.
+
+A truncated page must not be applied in part, and a page that the store repeats must not make the
+client read for ever.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +52,7 @@
     assert all(len(e.key) + len(e.value) <= len(sent) for e in page.entries)
 
 
-def test_a_record_whose_key_is_cut_is_no_answer() -> None:
+def test_a_record_with_a_truncated_key_is_no_answer() -> None:
     record = bytes((9,)) + b"key"
     body = struct.pack(">QQ", 1, 0) + struct.pack(">I", len(record)) + record
     with pytest.raises(LinkspanError):
@@ -79,18 +83,18 @@
         asyncio.run(client(200, b"[]").append(KEYED, [Record(b"v", b"k")]))
 
 
-def test_a_refusal_of_any_form_is_one() -> None:
+def test_a_refusal_with_any_body_is_a_refusal() -> None:
     with pytest.raises(StoreRefused):
         asyncio.run(client(503, b"<html>").append(KEYED, [Record(b"v", b"k")]))
 
 
-def test_a_page_of_keys_that_comes_again_ends_the_listing() -> None:
+def test_a_repeated_page_of_keys_is_no_answer() -> None:
     page = b'{"items":[{"privateKey":"k","value":"dg==","offset":1}],"more":true,"end":2}'
     with pytest.raises(StoreUnanswered):
         asyncio.run(client(200, page).newest_records(KEYED))
 
 
-def test_a_key_of_any_letters_is_sent_whole() -> None:
+def test_a_key_with_special_characters_is_quoted() -> None:
     session = FixedSession(200, b'{"items":[],"end":0}')
     keys = StoreClient(session, "store")  # type: ignore[arg-type]
     asyncio.run(keys.newest_records_page(KEYED, after="a&part=9#+é".encode()))
--- a/tests/fuzz/test_whole_hosts.py
+++ b/tests/fuzz/test_whole_hosts.py
@@ -1,4 +1,8 @@
-"""Whole hosts among records, answers and bodies that are partly garbage."""
+"""Checks complete hosts with malformed records, executor reports and request bodies.
+
+The hosts run in virtual time. A malformed input may cost the record, report or job it belongs to,
+and must neither stop a host nor delay other jobs nor cause a second run of a task.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 PROGRESS = Partition("progress", 0, keyed=True)
 OWNERS = Partition("owners", 0)
 
-GARBAGE = (
+MALFORMED_VALUES = (
     b"null",
     b"{}",
     b"[",
@@ -43,12 +47,12 @@
     ).encode(),
 )
 KEYS = (b"s:0a:h", b"m:0a", b"l:0a:x", b"l:0a:1", b"r:0a:0", b"f:0a", b"z:0a", b"", b"\xff")
-"""Keys of job records, some of a later version or of none."""
+"""Keys of job records, some of them of a later version or invalid."""
 
 
-def put_garbage(world: HallWorld) -> None:
-    """Write what no reader understands into all that the hosts read."""
-    for value in (b"", *GARBAGE):
+def write_malformed_records(world: HallWorld) -> None:
+    """Write malformed records to all partitions that the hosts read."""
+    for value in (b"", *MALFORMED_VALUES):
         for key in KEYS:
             world.store.put(JOBS, key, value)
         for key in (b"0a.0", b"0a.x", b"\xff.0", b"fieldOfLater"):
@@ -58,25 +62,25 @@
         world.store.put(CONFIGURATION, b"wave", value)
 
 
-def other_than(world: HallWorld, owner: str | None) -> str:
+def host_other_than(world: HallWorld, owner: str | None) -> str:
     return next(name for name in world.hosts if name != owner)
 
 
 async def kill_owner(world: HallWorld) -> str:
-    """End the owner's process and return another host."""
+    """Kill the owner's process and return the name of another host."""
     owner = world.owner()
     assert owner
     world.kill_host(owner)
-    return other_than(world, owner)
+    return host_other_than(world, owner)
 
 
-def test_garbage_in_the_store_stops_no_host_and_no_job() -> None:
+def test_malformed_records_stop_no_host_and_no_job() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
         first = world.new_job(step(4, estimate_s=3.0), step(2, depends_on=(0,)))
         assert await world.submit("east-host-0", first) == 200
-        put_garbage(world)
+        write_malformed_records(world)
         await asyncio.sleep(0.5)
         host = await kill_owner(world)
         second = world.new_job(step(2))
@@ -91,8 +95,8 @@
     assert all(len(times) == 1 for times in world.starts.values())
 
 
-def test_a_job_whose_progress_is_garbage_goes_on() -> None:
-    """Its runs are found at their executors, or waited out; nothing runs twice."""
+def test_a_job_with_malformed_progress_continues() -> None:
+    """Checks that a new owner adopts runs from reports or waits for leases to expire."""
 
     async def play(value: bytes) -> HallWorld:
         world = HallWorld()
@@ -115,8 +119,8 @@
         assert all(len(times) == 1 for times in world.starts.values()), value
 
 
-def test_a_job_whose_progress_is_garbage_waits_for_a_silent_executor() -> None:
-    """An executor that nobody reaches may run its tasks until their leases are over."""
+def test_a_job_with_malformed_progress_waits_for_an_unreachable_executor() -> None:
+    """Checks that tasks of an unreachable executor wait until its lease expires."""
 
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
@@ -127,7 +131,7 @@
         world.store.put(PROGRESS, RunKey(job.job_id, 0).encode(), b"[")
         owner = world.owner()
         assert owner
-        host = other_than(world, owner)
+        host = host_other_than(world, owner)
         world.cuts.add((host, "east-0:1"))
         world.kill_host(owner)
         await world.wait_for(host, job.job_id, "succeeded", limit_s=90.0)
@@ -136,7 +140,7 @@
     assert run_virtual(play()).problems == []
 
 
-def test_a_roster_of_garbage_holds_nothing_up() -> None:
+def test_a_malformed_roster_delays_no_job() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
@@ -152,7 +156,7 @@
     assert world.problems == []
 
 
-def test_bodies_of_any_form_stop_nobody() -> None:
+def test_malformed_request_bodies_stop_no_host() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
@@ -161,22 +165,22 @@
         statuses = set()
         for number in range(300):
             job_id = f"{0xFF00 + number:016x}"
-            body = json.dumps(odd_body(random)).encode()
+            body = json.dumps(mistyped_body(random)).encode()
             with suppress(InvalidInput):
                 world.specs[job_id] = job_from_wire(job_id, QUEUE.name, body)
             deadline = asyncio.get_running_loop().time() + 3.0
             statuses.add((await front.submit(QUEUE, job_id, body, deadline)).status)
         assert statuses == {200, 400, 429}
-        sound = world.new_job(step(2))
-        assert await world.submit("east-host-1", sound) == 200
-        await world.wait_for("east-host-1", sound.job_id, "succeeded", limit_s=120.0)
+        well_formed = world.new_job(step(2))
+        assert await world.submit("east-host-1", well_formed) == 200
+        await world.wait_for("east-host-1", well_formed.job_id, "succeeded", limit_s=120.0)
         return world
 
     assert run_virtual(play()).problems == []
 
 
-def odd_body(random: Random) -> object:
-    """Return a job in which one field of a step is of another type or size."""
+def mistyped_body(random: Random) -> object:
+    """Return a job with one field of a step of another type or size."""
     name = random.choice(
         (
             "requirements",
@@ -196,12 +200,12 @@
     return {"spec": "text", "steps": [fields]}
 
 
-def test_reports_that_name_what_there_is_not_stop_nobody() -> None:
+def test_reports_of_unknown_runs_stop_no_host() -> None:
     async def play() -> HallWorld:
         world = HallWorld()
         await world.begin()
         job = world.new_job(step(4, estimate_s=3.0), step(2, depends_on=(0,)))
-        add_strange_rows(world.executors["east-0:1"], job.job_id)
+        report_unknown_runs(world.executors["east-0:1"], job.job_id)
         assert await world.submit("east-host-0", job) == 200
         await world.wait_for("east-host-0", job.job_id, "succeeded", limit_s=30.0)
         return world
@@ -209,34 +213,34 @@
     assert run_virtual(play()).problems == []
 
 
-def add_strange_rows(executor: MemoryExecutor, job_id: str) -> None:
-    """Have an executor list runs and ends that no owner knows of."""
-    sound = executor.report
-    strange = (TaskName(job_id, 0, 99, 0), TaskName(job_id, 7, 0, 0), TaskName("zz", 0, 0, 0))
+def report_unknown_runs(executor: MemoryExecutor, job_id: str) -> None:
+    """Make an executor report runs and ends of tasks that do not exist."""
+    original_report = executor.report
+    unknown = (TaskName(job_id, 0, 99, 0), TaskName(job_id, 7, 0, 0), TaskName("zz", 0, 0, 0))
 
     def report(acknowledged: int) -> ExecutorReport:
-        told = sound(acknowledged)
-        running = tuple(RunningTask(name, 1, "", 0, None) for name in strange)
-        last = told.ended[-1].number if told.ended else executor.last_number
+        known = original_report(acknowledged)
+        running = tuple(RunningTask(name, 1, "", 0, None) for name in unknown)
+        last = known.ended[-1].number if known.ended else executor.last_number
         ended = tuple(
             EndedTask(last + index, name, 3, EndKind.FAILED, "")
-            for index, name in enumerate(strange, start=1)
+            for index, name in enumerate(unknown, start=1)
             if last + index > acknowledged
         )
-        executor.last_number = max(executor.last_number, last + len(strange))
-        return ExecutorReport(told.clock_s, told.running + running, told.ended + ended)
+        executor.last_number = max(executor.last_number, last + len(unknown))
+        return ExecutorReport(known.clock_s, known.running + running, known.ended + ended)
 
     executor.report = report  # type: ignore[method-assign]
 
 
-def test_an_executor_whose_reports_do_not_decode_stops_nobody_and_is_told_of() -> None:
+def test_an_executor_with_malformed_reports_stops_no_host_and_is_logged() -> None:
     async def play() -> HallWorld:
         world = HallWorld(lists_machines=False)
         await world.begin()
         job = world.new_job(step(6, cpu=4_000, estimate_s=3.0))
         assert await world.submit("east-host-0", job) == 200
         await asyncio.sleep(0.5)
-        garble(world.executors["east-0:1"])
+        break_reports(world.executors["east-0:1"])
         await world.wait_for("east-host-0", job.job_id, "succeeded", limit_s=60.0)
         assert "no report" in world.log.named("EXECUTOR_SILENT")[0]["cause"]
         return world
@@ -244,8 +248,8 @@
     assert run_virtual(play()).problems == []
 
 
-def garble(executor: MemoryExecutor) -> None:
-    """Have an executor answer looks with what its client takes for none."""
+def break_reports(executor: MemoryExecutor) -> None:
+    """Make all polls of an executor fail as with a malformed report."""
 
     def report(_acknowledged: int) -> ExecutorReport:
         raise Unreachable("executor sent no report")
