--- a/tests/hall_executors.py
+++ b/tests/hall_executors.py
@@ -249,9 +249,9 @@
         address, hall = executor.record.address, executor.record.hall
         self.crash_executor(address, back=False)
         loop = asyncio.get_running_loop()
-        loop.call_later(self.crash_back_s, self._come_back, hall, address, context=Context())
+        loop.call_later(self.crash_back_s, self._restart_if_down, hall, address, context=Context())
 
-    def _come_back(self, hall: str, address: str) -> None:
+    def _restart_if_down(self, hall: str, address: str) -> None:
         if not self.executors[address].alive:
             self.add_executor(hall, address)
 
--- a/tests/standins/fake_worker.py
+++ b/tests/standins/fake_worker.py
@@ -48,7 +48,7 @@
         if completed:
             self.completed[task] = self.completed.get(task, 0) + 1
 
-    def room(self, worker: str, used: Resources, size: Resources) -> None:
+    def check_capacity(self, worker: str, used: Resources, size: Resources) -> None:
         """Check that the resources in use on a worker fit its size."""
         if not used.fits_within(size):
             self.violations.append(f"{worker} holds {used} of {size}")
@@ -144,7 +144,7 @@
             self.closed[key] = ClosedAttempt(key, False, False, False, "")
             return
         self.witness.begin(self.spec.name, start)
-        self.witness.room(self.spec.name, used + start.size, self.spec.size)
+        self.witness.check_capacity(self.spec.name, used + start.size, self.spec.size)
         self.runs[key] = _Run(start, lease_until, clock + self.run_s(start))
 
     def _stop(self, key: AttemptKey) -> None:
--- a/tests/standins/memory_executor.py
+++ b/tests/standins/memory_executor.py
@@ -99,15 +99,15 @@
     def judged_room(self) -> Demand:
         """Return the capacity that starts must fit: a reduction counts once it is enforced."""
         self.previous_capacities = [row for row in self.previous_capacities if self.now < row[1]]
-        room = self.record.capacity
+        capacity = self.record.capacity
         for before, _ in self.previous_capacities:
-            room = room.union(before)
-        return room
+            capacity = capacity.union(before)
+        return capacity
 
-    def free(self, room: Demand | None = None) -> Demand:
+    def free(self, capacity: Demand | None = None) -> Demand:
         """Return the unused part of a capacity, by default of the current one."""
-        room = room or self.record.capacity
-        cpu, memory = room.milli_cpu, room.memory_mb
+        capacity = capacity or self.record.capacity
+        cpu, memory = capacity.milli_cpu, capacity.memory_mb
         for run in self.running.values():
             demand = self.world.step_of(run.task).demand
             cpu -= demand.milli_cpu
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -33,8 +33,8 @@
 class WideExecutor(MemoryExecutor):
     """An executor incarnation whose CPU is not occupied by best-effort tasks."""
 
-    def free(self, room: Demand | None = None) -> Demand:
-        free = super().free(room)
+    def free(self, capacity: Demand | None = None) -> Demand:
+        free = super().free(capacity)
         for run in self.running.values():
             step = self.world.step_of(run.task)
             if step.best_effort:
