--- a/soak/executors.py
+++ b/soak/executors.py
@@ -56,13 +56,13 @@
         done_at: When each task was first done.
         run_done_at: When each run was done.
         started_at: When runs of each job started.
-        lapsed_at: When the lease of each executor was last expired, by incarnation.
+        lease_expired_at: When the lease of each executor was last expired, by incarnation.
     """
 
     done_at: dict[TaskName, float] = field(default_factory=dict)
     run_done_at: dict[tuple[str, TaskName, int], float] = field(default_factory=dict)
     started_at: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    lapsed_at: dict[str, float] = field(default_factory=dict)
+    lease_expired_at: dict[str, float] = field(default_factory=dict)
 
     def judge_start(self, executor: MemoryExecutor, order: StartOrder) -> None:
         """Record a start and check it; a job that was never registered has no steps to check."""
@@ -84,17 +84,17 @@
         """
         incarnation = executor.incarnation_name
         done_at = self.run_done_at.get((incarnation, end.task, end.run), 0.0)
-        if end.kind is EndKind.DONE and self.lapsed_at.get(incarnation, 0.0) > done_at:
+        if end.kind is EndKind.DONE and self.lease_expired_at.get(incarnation, 0.0) > done_at:
             return
         super().judge_acknowledged(executor, end)
         if end.kind is EndKind.DONE and self.starts[end.task][-1] > done_at:
             self.violations.append(f"TWICE {end.task} started after run {end.run} was done")
 
-    def note_lapse(self, address: str) -> None:
+    def record_lease_expiry(self, address: str) -> None:
         """Record the time if the lease of the executor at an address is expired."""
         executor = self.executors.get(address)
         if executor and executor.clock >= executor.until:
-            self.lapsed_at[executor.incarnation_name] = executor.now
+            self.lease_expired_at[executor.incarnation_name] = executor.now
 
 
 class ExecutorControl:
@@ -162,7 +162,9 @@
                 running=[task_to_wire(task) for e in alive for task in e.running],
                 failed={task_to_wire(task): count for task, count in world.failed.items()},
                 listed_ends=sum(len(executor.ended) for executor in alive),
-                crashes={task_to_wire(task): n for task, n in world.crashing.under.items()},
+                crashes={
+                    task_to_wire(task): n for task, n in world.crashing.crashes_during_run.items()
+                },
             )
         )
 
@@ -192,12 +194,12 @@
 
 async def main(seed: int, executors: int, store_control: str) -> None:
     """Serve until standard input is closed."""
-    world = ExecutorWorld(seed=seed, shrunk_counts_s=SHRUNK_CAPACITY_GRACE_S)
+    world = ExecutorWorld(seed=seed, reduced_capacity_applies_after_s=SHRUNK_CAPACITY_GRACE_S)
     registrations = Registrations(store_control)
     world.store = registrations  # type: ignore[assignment]
     writing = asyncio.create_task(registrations.run())
     front = ExecutorFront(world)
-    front.on_order = world.note_lapse
+    front.on_order = world.record_lease_expiry
     addresses = {}
     for number in range(executors):
         addresses[f"executor-{number}"] = await listen(front.handle)
--- a/tests/attempt_budget.py
+++ b/tests/attempt_budget.py
@@ -53,7 +53,7 @@
         unit, failed = unit_of(end.task, step), attempt_of(end.run, executor.incarnation_name, step)
         self._noted[unit].add(failed)
         ended = self._ended[executor.incarnation_name, end.task, end.run]
-        if step.standing or step.speculative or executor.lapsed_at >= ended:
+        if step.standing or step.speculative or executor.lease_expired_at >= ended:
             return []
         in_lease = self._noted_in_lease[unit]
         in_lease[failed] = min(in_lease.get(failed, ended), ended)
--- a/tests/cancelling_days.py
+++ b/tests/cancelling_days.py
@@ -24,7 +24,11 @@
 async def cancelling_day(seed: int, *, troubles: int = 10) -> HallWorld:
     """Run a scenario in which callers cancel many jobs while several faults overlap."""
     world = HallWorld(
-        halls=("east", "west"), hosts_per_hall=3, seed=seed, failing_share=0.03, late_most_s=12.0
+        halls=("east", "west"),
+        hosts_per_hall=3,
+        seed=seed,
+        failing_share=0.03,
+        max_order_delay_s=12.0,
     )
     world.lists_machines = seed % 3 > 0
     random = world.random
@@ -38,7 +42,7 @@
     for name, _ in world.host_names():
         if name not in world.hosts:
             world.start_host(name)
-    world.trouble()
+    world.record_fault()
     await asyncio.sleep(15.0)
     return world
 
@@ -106,17 +110,17 @@
     if not name or len(world.hosts) < 2:
         return
     world.kill_host(name)
-    world.trouble()
+    world.record_fault()
     if random.random() < 0.5:
         await asyncio.sleep(random.uniform(0.3, 4.0))
         if name not in world.hosts:
             world.start_host(name)
-    world.trouble()
+    world.record_fault()
     home = [host for host, hall in world.host_names() if hall == world.halls[shard]]
     while not any(host in world.hosts for host in home) and world.owner(shard) is None:
         # The fault lasts until another hall owns the shard of a hall without hosts.
         await asyncio.sleep(0.05)
-        world.trouble()
+        world.record_fault()
 
 
 @trouble
@@ -134,7 +138,7 @@
     """The store drops all records except the newest one of each key."""
     for partition in list(world.store._logs):
         world.store.forget(partition)
-    world.trouble()
+    world.record_fault()
 
 
 @trouble
@@ -168,7 +172,7 @@
     """Keep the world marked as faulty for a time."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
-    world.trouble()
+    world.record_fault()
     while loop.time() < until:
         await asyncio.sleep(0.05)
-        world.trouble()
+        world.record_fault()
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -20,25 +20,28 @@
 
     Attributes:
         after_s: Seconds from the start of a task's run to the crash of its executor.
-        fallen: Number of executors that each task crashed.
+        crash_counts: Number of executors that each task crashed.
         lost_colocated: Number of colocated runs of other tasks lost in these crashes.
-        under: Number of executors that crashed, for any reason, while the task ran there.
+        crashes_during_run: Number of executors that crashed, for any reason, while the task
+            ran there.
     """
 
     after_s: dict[TaskName, float] = field(default_factory=dict)
-    fallen: Counter[TaskName] = field(default_factory=Counter)
+    crash_counts: Counter[TaskName] = field(default_factory=Counter)
     lost_colocated: int = 0
-    under: Counter[TaskName] = field(default_factory=Counter)
+    crashes_during_run: Counter[TaskName] = field(default_factory=Counter)
     _starts_after: Counter[TaskName] = field(default_factory=Counter)
 
     def on_start(self, task: TaskName) -> list[str]:
         """Return the violations of a start of a task, empty if it is allowed."""
-        if task not in self.after_s or self.fallen[task] < MAX_CRASHES:
+        if task not in self.after_s or self.crash_counts[task] < MAX_CRASHES:
             return []
         self._starts_after[task] += 1
         if self._starts_after[task] <= MAX_STARTS_AFTER_CRASHES:
             return []
-        return [f"BUDGET {task} is started after {self.fallen[task]} executors crashed under it"]
+        return [
+            f"BUDGET {task} is started after {self.crash_counts[task]} executors crashed under it"
+        ]
 
     def on_crash(self, task: TaskName, running: set[TaskName]) -> None:
         """Count a crash that a task causes.
@@ -47,5 +50,5 @@
             task: Task that crashes its executor.
             running: All tasks that ran on the executor.
         """
-        self.fallen[task] += 1
+        self.crash_counts[task] += 1
         self.lost_colocated += len(running - self.after_s.keys())
--- a/tests/failed_jobs.py
+++ b/tests/failed_jobs.py
@@ -79,7 +79,7 @@
         return used_up or max(self._crash_counts(job_id), default=0) >= MIN_CRASHES_UNDER_TASK
 
     def _crash_counts(self, job_id: str) -> list[int]:
-        under = self._judge.crashing.under
+        under = self._judge.crashing.crashes_during_run
         return [count for task, count in under.items() if task.job_id == job_id]
 
 
--- a/tests/hall_executors.py
+++ b/tests/hall_executors.py
@@ -22,7 +22,7 @@
 EXECUTORS = Partition("executors", keyed=True)
 HEARTBEAT_S = 1.5
 
-ENTRY_GOES_S = 3 * HEARTBEAT_S
+ENTRY_EXPIRY_S = 3 * HEARTBEAT_S
 """Time without a heartbeat after which the platform removes an executor's entry."""
 
 WORLD_START_MS = 1_700_000_000_000
@@ -36,11 +36,12 @@
     Attributes:
         resets: Whether a crash resets the executor's connections and later calls to its address
             are refused, so that hosts detect the crash at once and not after a timeout.
-        crash_back_s: Seconds after which an executor restarts that a task crashed.
+        crash_restart_s: Seconds after which an executor restarts that a task crashed.
         entry_after_s: Seconds from a restart until the next incarnation writes its entry.
-        late_to_next_life: Whether an order that arrives late is carried out by the incarnation
-            that has the executor's id then, and not only by the addressed one.
-        shrunk_counts_s: Seconds after which starts are judged by a reduced capacity.
+        late_to_next_incarnation: Whether an order that arrives late is carried out by the
+            incarnation that has the executor's id then, and not only by the addressed one.
+        reduced_capacity_applies_after_s: Seconds after which starts are judged by a reduced
+            capacity.
     """
 
     seed: int = 0
@@ -48,14 +49,14 @@
     max_lease_s: float = 10.0
     failing_share: float = 0.0
     late_share: float = 0.0
-    late_most_s: float = 8.0
+    max_order_delay_s: float = 8.0
     lost_answer_share: float = 0.0
     guards_room: bool = True
     resets: bool = False
-    crash_back_s: float = 1.5
+    crash_restart_s: float = 1.5
     entry_after_s: float = 0.0
-    late_to_next_life: bool = False
-    shrunk_counts_s: float = CONTACT_S + HEARTBEAT_S
+    late_to_next_incarnation: bool = False
+    reduced_capacity_applies_after_s: float = CONTACT_S + HEARTBEAT_S
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -153,7 +154,7 @@
     def resize(self, address: str, milli_cpu: int, memory_mb: int = 32_000) -> None:
         """Change the capacity of a running executor and publish it in its entry."""
         executor = self.executors[address]
-        enforced_from = executor.now + self.shrunk_counts_s
+        enforced_from = executor.now + self.reduced_capacity_applies_after_s
         executor.resize(Demand(milli_cpu, memory_mb), enforced_from=enforced_from)
         self.register(executor)
 
@@ -169,7 +170,7 @@
 
     def crash_executor(self, address: str, *, back: bool = True) -> None:
         executor = self.executors[address]
-        self._fall(executor)
+        self._crash(executor)
         self.forget_registration(executor)
         if back:
             self.add_executor(executor.record.hall, address)
@@ -181,12 +182,12 @@
 
         Args:
             address: Address of the executor.
-            down_s: Time until the restart. The entry stays if this is below ``ENTRY_GOES_S``.
+            down_s: Time until the restart. The entry stays if this is below ``ENTRY_EXPIRY_S``.
             clock_s: Clock reading after the restart. ``None`` for a clock that kept running.
         """
         executor = self.executors[address]
-        self._fall(executor)
-        if down_s >= ENTRY_GOES_S:
+        self._crash(executor)
+        if down_s >= ENTRY_EXPIRY_S:
             self.forget_registration(executor)
         loop = asyncio.get_running_loop()
         loop.call_later(down_s, self._restart_crashed, executor, clock_s, context=Context())
@@ -198,10 +199,10 @@
                 record.hall, record.address, executor_id=record.executor_id, clock_s=clock_s
             )
 
-    def _fall(self, executor: MemoryExecutor) -> None:
+    def _crash(self, executor: MemoryExecutor) -> None:
         self.look_at_records()
         executor.alive = False
-        self.crashing.under.update(executor.running.keys())
+        self.crashing.crashes_during_run.update(executor.running.keys())
         self._break_gangs(executor)
         if self.resets:
             executor.changed.set()
@@ -249,7 +250,9 @@
         address, hall = executor.record.address, executor.record.hall
         self.crash_executor(address, back=False)
         loop = asyncio.get_running_loop()
-        loop.call_later(self.crash_back_s, self._restart_if_down, hall, address, context=Context())
+        loop.call_later(
+            self.crash_restart_s, self._restart_if_down, hall, address, context=Context()
+        )
 
     def _restart_if_down(self, hall: str, address: str) -> None:
         if not self.executors[address].alive:
@@ -289,7 +292,7 @@
 
     def late_by(self) -> float:
         if self.late_share and self.random.random() < self.late_share:
-            return 2.0 + (self.late_most_s - 2.0) * self.random.random()
+            return 2.0 + (self.max_order_delay_s - 2.0) * self.random.random()
         return 0.0
 
     def loses_answer(self) -> bool:
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -128,22 +128,22 @@
     def freeze_host(self, name: str) -> None:
         """Freeze a host like a stopped process. Its pending calls to others proceed."""
         virtual_loop().freeze(self.hosts[name].process)
-        self.troubled_until = float("inf")
+        self.faulty_until = float("inf")
 
     def suspend_host(self, name: str) -> None:
         """Suspend a host's machine: this stops its steady clock and timers, too."""
         virtual_loop().suspend(self.hosts[name].process)
-        self.troubled_until = float("inf")
+        self.faulty_until = float("inf")
 
     def resume(self, running: RunningHost) -> None:
         """Resume a suspended machine."""
-        self.trouble()
+        self.record_fault()
         if running in self.hosts.values():
             virtual_loop().resume(running.process)
 
     def thaw(self, running: RunningHost) -> None:
         """End the freeze of a process. It runs all callbacks that came due during the freeze."""
-        self.trouble()
+        self.record_fault()
         if running in self.hosts.values():
             virtual_loop().thaw(running.process)
 
--- a/tests/host/failing_gangs_day.py
+++ b/tests/host/failing_gangs_day.py
@@ -8,10 +8,10 @@
 
 from linkspan.jobs.spec import JobSpec
 from linkspan.shard.messages import EndKind, TaskName
-from tests.hall_executors import ENTRY_GOES_S
+from tests.hall_executors import ENTRY_EXPIRY_S
 from tests.host.later import later
 from tests.job_builders import step
-from tests.lapses import LapsingWorld
+from tests.lease_expiry_world import LeaseExpiryWorld
 from tests.standins.memory_executor import MemoryExecutor
 
 GANG_COUNT = 12
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class GangsWorld(LapsingWorld):
+class GangsWorld(LeaseExpiryWorld):
     """A deployment in which failing members of a gang end the runs of the other members.
 
     Attributes:
@@ -93,7 +93,7 @@
         draw = self.fault_random
         if draw.random() >= FAULT_SHARE:
             return
-        self.trouble()
+        self.record_fault()
         for executor in list(self.executors.values()):
             if any(t.job_id == task.job_id for t in executor.running) and draw.random() < 0.6:
                 self._cut_off(executor, draw.choice(CUT_OFF_DURATIONS_S))
@@ -105,12 +105,12 @@
     def _cut_off(self, executor: MemoryExecutor, duration_s: float) -> None:
         cut = {(name, executor.record.address) for name, _ in self.host_names()}
         self.cuts |= cut
-        if duration_s > ENTRY_GOES_S:
-            later(ENTRY_GOES_S, self.forget_registration, executor)
+        if duration_s > ENTRY_EXPIRY_S:
+            later(ENTRY_EXPIRY_S, self.forget_registration, executor)
         later(duration_s, self._reconnect, executor)
 
     def _reconnect(self, executor: MemoryExecutor) -> None:
-        self.trouble()
+        self.record_fault()
         self.cuts -= {(name, executor.record.address) for name, _ in self.host_names()}
         self.register(executor)
 
@@ -122,7 +122,7 @@
         owner = self.owner()
         if owner is None:
             return
-        self.trouble()
+        self.record_fault()
         self.kill_host(owner)
         later(down_s, self._restart_host, owner)
 
--- a/tests/host/removed_queue_day.py
+++ b/tests/host/removed_queue_day.py
@@ -121,7 +121,7 @@
     owner = world.owner(random.randrange(len(HALLS)))
     if owner is None:
         return
-    world.trouble()
+    world.record_fault()
     if random.random() < 0.5:
         world.kill_host(owner)
     else:
--- a/tests/host/restarting_troubles.py
+++ b/tests/host/restarting_troubles.py
@@ -4,14 +4,14 @@
 
 import asyncio
 
-from tests.hall_executors import ENTRY_GOES_S
+from tests.hall_executors import ENTRY_EXPIRY_S
 from tests.hall_world import HallWorld
 from tests.host.overlapping_day import OverlappingDay
 
 RESTART_SHARE = 0.6
 """Share of the faults that are restarts of executors."""
 
-DOWN_DURATIONS_S = (0.01, 0.1, 0.5, 1.2, 3.0, ENTRY_GOES_S + 1.0)
+DOWN_DURATIONS_S = (0.01, 0.1, 0.5, 1.2, 3.0, ENTRY_EXPIRY_S + 1.0)
 """Times between a crash and the restart: shorter and longer than it takes to detect the crash by a
 poll, by the machine list and by the registry entry."""
 
@@ -47,7 +47,7 @@
             return
         await asyncio.sleep(at)
         self.told.append(f"{asyncio.get_running_loop().time():.2f} restarts")
-        self.world.trouble()
+        self.world.record_fault()
         addresses = self._addresses()
         cut = self._cut(addresses) if self.random.random() < 0.3 else set()
         clock_s = self.random.choice(CLOCK_STARTS_S)
@@ -62,7 +62,7 @@
     async def _ask_for_all(self) -> None:
         """Check all jobs; a job may fail if two executors crashed under one of its tasks."""
         world = self.world
-        under = world.crashing.under
+        under = world.crashing.crashes_during_run
         name = min(world.hosts)
         for job_id in sorted(world.accepted):
             crashes = max((n for task, n in under.items() if task.job_id == job_id), default=0)
@@ -102,9 +102,9 @@
         The world, and the times and names of the faults.
     """
     day = RestartingTroubles(seed)
-    day.world.late_to_next_life = True
+    day.world.late_to_next_incarnation = True
     day.world.late_share = LATE_SHARE
-    day.world.late_most_s = MAX_ORDER_DELAY_S
+    day.world.max_order_delay_s = MAX_ORDER_DELAY_S
     return await day.play(), day.told
 
 
--- a/tests/host/returning_day.py
+++ b/tests/host/returning_day.py
@@ -13,10 +13,10 @@
 from linkspan.errors import StoreUnanswered
 from linkspan.shard.messages import EndKind, TaskName
 from linkspan.store.types import Appended, Partition, Producer, Record, Store
-from tests.hall_executors import ENTRY_GOES_S
+from tests.hall_executors import ENTRY_EXPIRY_S
 from tests.host.later import later
 from tests.job_builders import QUEUE, step
-from tests.lapses import LapsingWorld
+from tests.lease_expiry_world import LeaseExpiryWorld
 from tests.standins.memory_executor import MemoryExecutor
 from tests.standins.memory_store import TIMEOUT_S, MemoryStore, StoreLink
 from tests.virtual_time import world_time
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class ReturningWorld(LapsingWorld):
+class ReturningWorld(LeaseExpiryWorld):
     """A deployment whose executors are cut off, with a queue that allows two attempts.
 
     Attributes:
@@ -81,13 +81,13 @@
 
     def cut_off(self, executor: MemoryExecutor) -> None:
         """Cut an executor off from all hosts and from the store, where its entry expires."""
-        self.trouble()
+        self.record_fault()
         self.cuts |= {(name, executor.record.address) for name, _ in self.host_names()}
-        later(ENTRY_GOES_S, self.forget_registration, executor)
+        later(ENTRY_EXPIRY_S, self.forget_registration, executor)
 
     def reconnect(self, executor: MemoryExecutor) -> None:
         """Reconnect a cut-off executor and restore its entry."""
-        self.trouble()
+        self.record_fault()
         self.cuts -= {(name, executor.record.address) for name, _ in self.host_names()}
         self.register(executor)
 
@@ -244,7 +244,7 @@
     owner = world.owner()
     if not how or not owner:
         return
-    world.trouble()
+    world.record_fault()
     if how == "killed":
         world.kill_host(owner)
     else:
--- a/tests/host/single_crashes_day.py
+++ b/tests/host/single_crashes_day.py
@@ -39,7 +39,7 @@
     submissions = asyncio.create_task(_submit_jobs(world, draw))
     await asyncio.sleep(2.0)
     for _ in range(CRASH_COUNT):
-        world.trouble()
+        world.record_fault()
         address = draw.choice(list(world.executors))
         if world.executors[address].alive:
             world.restart_executor(address, down_s=draw.choice((0.01, 0.5, 2.0)), clock_s=0.0)
--- a/tests/host/standing_entries_day.py
+++ b/tests/host/standing_entries_day.py
@@ -23,7 +23,7 @@
 
     def crash_executor(self, address: str, *, back: bool = True) -> None:
         executor = self.executors[address]
-        self._fall(executor)
+        self._crash(executor)
         key = executor.record.executor_id.encode()
         delay_s = MISSED_HEARTBEATS * HEARTBEAT_S
         asyncio.get_running_loop().call_later(delay_s, self.store.put, EXECUTORS, key, b"")
--- a/tests/host/test_cancelled_work.py
+++ b/tests/host/test_cancelled_work.py
@@ -21,7 +21,7 @@
 
 async def cancelled_amid_late_orders(seed: int, *, late_stops: bool) -> HallWorld:
     """Cancel a job of which many starts, and optionally the first stops, are executed late."""
-    world = HallWorld(seed=seed, late_most_s=12.0)
+    world = HallWorld(seed=seed, max_order_delay_s=12.0)
     await world.begin()
     spec = world.new_job(step(12, estimate_s=30.0))
     world.late_share = 0.7
@@ -56,7 +56,7 @@
     """The next owner must find runs of a start that it has no record of."""
 
     async def play() -> HallWorld:
-        world = HallWorld(seed=seed, late_most_s=12.0)
+        world = HallWorld(seed=seed, max_order_delay_s=12.0)
         await world.begin()
         owner = world.owner()
         assert owner
@@ -80,7 +80,7 @@
 
 async def start_in_one_of_two_halls(seed: int) -> tuple[HallWorld, str, list[str]]:
     """Return a world, its only job, some of whose orders may arrive late, and its hall's hosts."""
-    world = HallWorld(halls=("east", "west"), seed=seed, late_most_s=12.0)
+    world = HallWorld(halls=("east", "west"), seed=seed, max_order_delay_s=12.0)
     await world.begin()
     spec = world.new_job(step(12, estimate_s=30.0))
     world.late_share = 0.3
@@ -124,7 +124,7 @@
         until = asyncio.get_running_loop().time() + 8.0
         while asyncio.get_running_loop().time() < until:
             # Hosts of the other hall may not claim the shard for eight seconds.
-            world.trouble()
+            world.record_fault()
             await asyncio.sleep(0.05)
         await asyncio.sleep(CANCEL_S + STOP_S)
         assert running_count(world) == 0
@@ -154,7 +154,7 @@
     """The owner of the home or of the delegated shard ends just as the job is cancelled."""
 
     async def play() -> HallWorld:
-        world = HallWorld(halls=("east", "west"), seed=seed, late_most_s=12.0)
+        world = HallWorld(halls=("east", "west"), seed=seed, max_order_delay_s=12.0)
         await world.begin()
         spec = world.new_job(step(6, standing=True, max_per_executor=1))
         world.late_share = 0.3
--- a/tests/host/test_crashes_on_no_record.py
+++ b/tests/host/test_crashes_on_no_record.py
@@ -30,13 +30,13 @@
     first_owner = world.owner()
     assert first_owner
     # The owner starts the task without a record.
-    world.away.add((first_owner, "progress"))
+    world.refused_topics.add((first_owner, "progress"))
     spec = await submit_crashing(world, step(estimate_s=30.0), after_s=CRASH_AFTER_S)
     (task,) = world.crashing.after_s
     crash_count = 0
     for _ in range(int(2 * GIVEN_UP_S / CHECK_INTERVAL_S)):
         await asyncio.sleep(CHECK_INTERVAL_S)
-        if world.crashing.fallen[task] == crash_count:
+        if world.crashing.crash_counts[task] == crash_count:
             continue
         crash_count += 1
         if crash_count == 1:
--- a/tests/host/test_crashing_days.py
+++ b/tests/host/test_crashing_days.py
@@ -144,7 +144,7 @@
     assert scenario.world.problems == []
     assert set(crashing) == {"failed"}
     assert set(others) <= {"succeeded", "failed"}
-    under = scenario.world.crashing.under
+    under = scenario.world.crashing.crashes_during_run
     for spec, state in zip(scenario.others, others, strict=True):
         crashes = (
             max(n for task, n in under.items() if task.job_id == spec.job_id)
--- a/tests/host/test_crashing_tasks.py
+++ b/tests/host/test_crashing_tasks.py
@@ -62,7 +62,7 @@
 
 def test_a_task_is_given_up_after_two_crashes_right_after_its_start() -> None:
     world, job_states = _run(_run_one_job(step(estimate_s=LONG_S)))
-    assert sum(world.crashing.fallen.values()) == 2
+    assert sum(world.crashing.crash_counts.values()) == 2
     assert job_states == ["failed"]
 
 
@@ -243,7 +243,7 @@
     """
 
     async def scenario() -> Outcome:
-        world = await day(executors_per_hall=3, crash_back_s=LONG_S)
+        world = await day(executors_per_hall=3, crash_restart_s=LONG_S)
         spec = await submit_crashing(world, step(standing=True), after_s=5.0)
         await asyncio.sleep(GIVEN_UP_S)
         return world, await states(world, [spec])
@@ -252,7 +252,7 @@
     assert world.log.named("WORK_HANDED_OVER")
     assert world.problems == []
     assert job_states == ["failed"]
-    assert sum(world.crashing.fallen.values()) <= 4
+    assert sum(world.crashing.crash_counts.values()) <= 4
 
 
 def test_two_owners_lost_before_they_record_a_start_cause_no_extra_start() -> None:
@@ -272,7 +272,7 @@
         crash_count = 0
         for _ in range(int(2 * GIVEN_UP_S / CHECK_INTERVAL_S)):
             await asyncio.sleep(CHECK_INTERVAL_S)
-            if world.crashing.fallen[task] == crash_count:
+            if world.crashing.crash_counts[task] == crash_count:
                 continue
             crash_count += 1
             world.crashing.after_s[task] = AT_ONCE_S if crash_count == 2 else 4.0
--- a/tests/host/test_delayed_orders.py
+++ b/tests/host/test_delayed_orders.py
@@ -75,8 +75,8 @@
         restarts,
         seed=seed,
         late_share=LATE_SHARE,
-        late_most_s=MAX_ORDER_DELAY_S,
-        late_to_next_life=True,
+        max_order_delay_s=MAX_ORDER_DELAY_S,
+        late_to_next_incarnation=True,
     )
 
 
--- a/tests/host/test_ends_forgotten_soon_after_a_fall.py
+++ b/tests/host/test_ends_forgotten_soon_after_a_fall.py
@@ -34,7 +34,7 @@
 
 async def _run_scenario(crash_delay_s: float) -> list[str]:
     world = OneLateStart(hosts_per_hall=1, executors_per_hall=1)
-    world.late_to_next_life = True
+    world.late_to_next_incarnation = True
     world.entry_after_s = HEARTBEAT_S
     await world.begin()
     first = world.new_job(step(1, estimate_s=0.5))
@@ -46,7 +46,7 @@
     second = world.new_job(step(1, estimate_s=0.02))
     assert await world.submit("east-host-0", second) == 200
     await asyncio.sleep(crashes_at - world_time())
-    world.trouble()
+    world.record_fault()
     world.restart_executor(ADDRESS, down_s=DOWN_S)
     await asyncio.sleep(0.1)
     world.arrives_at = 0.0
--- a/tests/host/test_expired_leases.py
+++ b/tests/host/test_expired_leases.py
@@ -1,6 +1,6 @@
 """An expired lease permits a start only between an end and its acknowledgement.
 
-The tests check the rule of ``LapsingWorld``.
+The tests check the rule of ``LeaseExpiryWorld``.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from linkspan.shard.messages import EndedTask, EndKind, StartOrder, TaskName
 from tests.job_builders import step
-from tests.lapses import LapsingWorld
+from tests.lease_expiry_world import LeaseExpiryWorld
 from tests.virtual_time import run_virtual
 
 EVENT_INTERVAL_S = 1.0
@@ -26,7 +26,7 @@
     """
 
     async def play() -> list[str]:
-        world = LapsingWorld()
+        world = LeaseExpiryWorld()
         await world.begin()
         first, second, _ = world.executors.values()
         spec = world.new_job(step())
@@ -73,13 +73,13 @@
 
 def test_a_start_during_a_run_is_a_violation_after_a_lease_expiry() -> None:
     async def play() -> list[str]:
-        world = LapsingWorld()
+        world = LeaseExpiryWorld()
         await world.begin()
         spec = world.new_job(step(1, estimate_s=30.0))
         assert await world.submit("east-host-0", spec) == 200
         await asyncio.sleep(EVENT_INTERVAL_S)
         (first,) = (e for e in world.executors.values() if e.running)
-        first.lapsed_at = first.now
+        first.lease_expired_at = first.now
         second = next(e for e in world.executors.values() if e is not first)
         task = TaskName(spec.job_id, 0, 0, 0)
         world.judge_start(second, StartOrder("", task, 2, spec.payload, ""))
--- a/tests/host/test_failed_jobs.py
+++ b/tests/host/test_failed_jobs.py
@@ -169,7 +169,7 @@
     start(executors[0], spec, runs + 1)
     if lease_expired:
         for executor in executors:
-            executor.lapsed_at = executor.now
+            executor.lease_expired_at = executor.now
     for executor, failed in () if noted_first else ended:
         world.judge_acknowledged(executor, failed)
     return [line.split()[1] for line in world.problems]
--- a/tests/host/test_orders_of_former_owners.py
+++ b/tests/host/test_orders_of_former_owners.py
@@ -113,8 +113,8 @@
     return await play(
         Restarts(addresses=(), beside=begin, at_s=FALL_AT_S - LATE_FOR_S),
         seed=seed,
-        late_most_s=MAX_ORDER_DELAY_S,
-        late_to_next_life=True,
+        max_order_delay_s=MAX_ORDER_DELAY_S,
+        late_to_next_incarnation=True,
         entry_after_s=HEARTBEAT_S,
         **fields,
     )
--- a/tests/host/test_partial_reports.py
+++ b/tests/host/test_partial_reports.py
@@ -49,17 +49,17 @@
     async def play() -> HallWorld:
         world, first, second, busy, others = await _partition()
         world.call_s = {second: CALL_S}
-        world.away.add((first, "owners"))
+        world.refused_topics.add((first, "owners"))
         await _until(lambda: _count_reported(world, second) == len(others))
-        world.away.add((second, JOBS.topic))
+        world.refused_topics.add((second, JOBS.topic))
         # The store would refuse its records by now, and it would start nothing. So the store
         # does not answer it.
-        world.away.add((first, "progress"))
+        world.refused_topics.add((first, "progress"))
         assert await world.submit(first, world.new_job(step(1, estimate_s=LONG_S))) == 200
         await _until(lambda: bool(world.executors[busy].running))
         world.cuts.discard((second, busy))
         await asyncio.sleep(unread_s)
-        world.away.discard((second, JOBS.topic))
+        world.refused_topics.discard((second, JOBS.topic))
         # Queries of callers also make a host read the job records.
         for _ in range(round(SETTLED_S / QUERY_INTERVAL_S)):
             await asyncio.gather(asyncio.sleep(QUERY_INTERVAL_S), world.ask(second, "f" * 16))
@@ -102,7 +102,7 @@
 
     async def play() -> HallWorld:
         world, first, second, busy, others = await _partition()
-        world.away.add((first, "owners"))
+        world.refused_topics.add((first, "owners"))
         await _until(lambda: _count_reported(world, second) == len(others))
         assert await world.submit(first, world.new_job(step(1, estimate_s=LONG_S))) == 200
         await asyncio.sleep(SETTLED_S)
--- a/tests/host/test_raised_limits.py
+++ b/tests/host/test_raised_limits.py
@@ -43,7 +43,7 @@
         await asyncio.sleep(0.5)
     owner = world.owner()
     assert owner
-    world.trouble()
+    world.record_fault()
     world.kill_host(owner)
     await asyncio.sleep(60.0)
     return world, await world.state(next(iter(world.hosts)), spec.job_id)
--- a/tests/host/test_shrinking_room.py
+++ b/tests/host/test_shrinking_room.py
@@ -212,10 +212,10 @@
         world.resize("east-0:1", 0)
         await asyncio.sleep(1.0)
         world.resize("east-0:1", 4_000)
-        judged = [executor.judged_room().milli_cpu]
+        judged = [executor.judged_capacity().milli_cpu]
         for pause_s in (RELOCATION_S - 1.1, 0.2, 1.0):
             await asyncio.sleep(pause_s)
-            judged.append(executor.judged_room().milli_cpu)
+            judged.append(executor.judged_capacity().milli_cpu)
         return judged
 
     assert run_virtual(play()) == [8_000, 8_000, 4_000, 4_000]
--- a/tests/host/test_unanswered_starts_of_former_owners.py
+++ b/tests/host/test_unanswered_starts_of_former_owners.py
@@ -41,7 +41,7 @@
     # Incarnations are distinguished by their start times.
     world.restart_executor(address, down_s=0.1)
     await asyncio.sleep(5.0)
-    world.trouble()
+    world.record_fault()
     world.losing = True
     spec = world.new_job(step(1, estimate_s=1.0))
     assert await world.submit("east-host-0", spec) == 200
@@ -56,7 +56,7 @@
         world.restart_executor(address, down_s=0.1)
         await asyncio.sleep(CRASH_INTERVAL_S)
     world.losing = False
-    world.trouble()
+    world.record_fault()
     await asyncio.sleep(60.0)
     return world, await world.state(next(iter(world.hosts)), spec.job_id)
 
--- a/tests/host/test_unwritten_roster.py
+++ b/tests/host/test_unwritten_roster.py
@@ -38,7 +38,7 @@
         fill = step(3, cpu=world.milli_cpu, estimate_s=FULL_S, max_per_executor=1)
         assert await world.submit(first, world.new_job(fill)) == 200
         if not written:
-            world.away.add((first, "progress"))
+            world.refused_topics.add((first, "progress"))
         added = world.add_executor("east", "east-new:1")
         assert await world.submit(first, world.new_job(step(1, estimate_s=LONG_S))) == 200
         await asyncio.sleep(BEGUN_S)
--- a/tests/host/test_wide_days.py
+++ b/tests/host/test_wide_days.py
@@ -67,11 +67,11 @@
         done = EndedTask(1, run.task, run.run, EndKind.DONE, "")
         world.judge_end(executor, run.task, run.run, EndKind.DONE)
         world.starts[run.task].append(executor.now + 1.0)
-        executor.lapsed_at = executor.now + 2.0
+        executor.lease_expired_at = executor.now + 2.0
         world.judge_acknowledged(executor, done)
-        assert len(world.excused) == 1
+        assert len(world.allowed_restarts) == 1
         assert world.violations == []
-        executor.lapsed_at = executor.now - 2.0
+        executor.lease_expired_at = executor.now - 2.0
         world.judge_acknowledged(executor, done)
         return world
 
--- a/tests/host/test_withheld_ends_on_record.py
+++ b/tests/host/test_withheld_ends_on_record.py
@@ -48,8 +48,8 @@
 async def _run_with_one_unanswered_start() -> list[str]:
     world = HallWorld(hosts_per_hall=1, executors_per_hall=1)
     world.store = RecordingStore()
-    world.late_to_next_life = True
-    world.late_most_s = 6.0
+    world.late_to_next_incarnation = True
+    world.max_order_delay_s = 6.0
     await world.begin()
     world.late_share = 1.0
     spec = world.new_job(step(1, estimate_s=0.3))
--- a/tests/host/wide_day.py
+++ b/tests/host/wide_day.py
@@ -183,7 +183,7 @@
         addresses = sorted(a for a, e in world.executors.items() if e.record.hall == hall)
         chosen = random.sample(addresses, random.randint(1, 3))
         pairs = {(name, address) for name in hosts for address in chosen}
-        where = random.choice((world.cuts, world.deaf))
+        where = random.choice((world.cuts, world.unanswered_pairs))
         where |= pairs
         await self.last(*BLACKOUT_RANGE_S)
         where -= pairs
--- a/tests/part_world.py
+++ b/tests/part_world.py
@@ -14,9 +14,9 @@
 class PartLink(StoreLink):
     """A host's link to a store that refuses the host's calls for some topics."""
 
-    def __init__(self, store: MemoryStore, host: str, away: set[tuple[str, str]]) -> None:
+    def __init__(self, store: MemoryStore, host: str, refused_topics: set[tuple[str, str]]) -> None:
         super().__init__(store, host)
-        self._away = away
+        self._refused_topics = refused_topics
 
     async def append(
         self,
@@ -46,7 +46,7 @@
         return await super().newest_records_page(partition, after=after)
 
     async def _check_available(self, partition: Partition) -> None:
-        if (self._host, partition.topic) in self._away:
+        if (self._host, partition.topic) in self._refused_topics:
             raise StoreRefused(503)
 
 
@@ -55,10 +55,10 @@
     """A deployment whose store is unavailable in part.
 
     Attributes:
-        away: Pairs of host and topic whose calls the store refuses.
+        refused_topics: Pairs of host and topic whose calls the store refuses.
     """
 
-    away: set[tuple[str, str]] = field(default_factory=set)
+    refused_topics: set[tuple[str, str]] = field(default_factory=set)
 
     def store_link(self, host: str) -> Store:
-        return PartLink(self.store, host, self.away)
+        return PartLink(self.store, host, self.refused_topics)
--- a/tests/run_judge.py
+++ b/tests/run_judge.py
@@ -42,7 +42,7 @@
         queue: Queue of the jobs, as configured when they were accepted.
         specs: Submitted jobs by id.
         cancelled: Time at which a job's cancel was answered, by job id.
-        troubled_until: Time at which the last fault ended.
+        faulty_until: Time at which the last fault ended.
         done: Tasks with a run that ended as done.
         done_acknowledged: Tasks whose end as done an owner acknowledged.
         done_runs_at: Time at which a run ended as done, by executor incarnation, task and run
@@ -60,7 +60,7 @@
     queue: Queue = field(default=QUEUE, kw_only=True)
     specs: dict[str, JobSpec] = field(default_factory=dict, init=False)
     cancelled: dict[str, float] = field(default_factory=dict, init=False)
-    troubled_until: float = field(default=float("-inf"), init=False)
+    faulty_until: float = field(default=float("-inf"), init=False)
     done: set[TaskName] = field(default_factory=set, init=False)
     done_acknowledged: set[TaskName] = field(default_factory=set, init=False)
     done_runs_at: dict[tuple[str, TaskName, int], float] = field(default_factory=dict, init=False)
@@ -79,9 +79,9 @@
         self.budget = AttemptBudget(self)
         self.failed_jobs = FailedJobs(self)
 
-    def trouble(self) -> None:
+    def record_fault(self) -> None:
         """Record that a fault other than a cancel, a late order or a removal is present."""
-        self.troubled_until = world_time()
+        self.faulty_until = world_time()
 
     def step_of(self, task: TaskName) -> StepSpec:
         return self.specs[task.job_id].steps[task.step]
@@ -136,7 +136,7 @@
     def _cancel_counts_from(self, job_id: str) -> float:
         """Return the cancel's time, or ``CONTACT_S`` after the last fault if that is later."""
         cancelled = self.cancelled.get(job_id, float("inf"))
-        return max(cancelled, self.troubled_until + CONTACT_S)
+        return max(cancelled, self.faulty_until + CONTACT_S)
 
     def judge_end(self, executor: MemoryExecutor, task: TaskName, run: int, kind: EndKind) -> None:
         if kind is EndKind.DONE:
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -146,7 +146,7 @@
     first = world.executors["east-0:1"]
     first._finish(first.running[TASK], EndKind.DONE)
     first.until = 0.0
-    world.note_lapse("east-0:1")
+    world.record_lease_expiry("east-0:1")
     _start(world, 1, TASK, 2, "payload")
     first.until = float("inf")
     first.report(1)
--- a/tests/standins/memory_executor.py
+++ b/tests/standins/memory_executor.py
@@ -58,7 +58,7 @@
         slow_clock: Rate of its clock.
         started_at_ms: Start time in milliseconds since 1970.
         clock_ahead_s: Offset of its clock from the time since the world's start.
-        lapsed_at: Expiry time of the last lease that had expired when a later order arrived.
+        lease_expired_at: Expiry time of the last lease that had expired when a later order arrived.
     """
 
     world: HallExecutors
@@ -76,7 +76,7 @@
     ended: list[EndedTask] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     previous_capacities: list[tuple[Demand, float]] = field(default_factory=list)
-    lapsed_at: float = float("-inf")
+    lease_expired_at: float = float("-inf")
 
     @property
     def now(self) -> float:
@@ -96,7 +96,7 @@
         self.previous_capacities.append((self.record.capacity, enforced_from))
         self.record = replace(self.record, capacity=capacity)
 
-    def judged_room(self) -> Demand:
+    def judged_capacity(self) -> Demand:
         """Return the capacity that starts must fit: a reduction counts once it is enforced."""
         self.previous_capacities = [row for row in self.previous_capacities if self.now < row[1]]
         capacity = self.record.capacity
@@ -127,7 +127,7 @@
             return StartOutcome.SUPERSEDED
         step = self.world.step_of(order.task)
         guarded = self.world.guards_room
-        free = self.free(None if guarded else self.judged_room())
+        free = self.free(None if guarded else self.judged_capacity())
         if step.demand.milli_cpu > free.milli_cpu or step.demand.memory_mb > free.memory_mb:
             if guarded:
                 return StartOutcome.NO_ROOM
@@ -162,7 +162,7 @@
             raise Fenced("a newer owner")
         self.token = token
         if self.clock >= self.until:
-            self.lapsed_at = (self.until - self.clock_ahead_s) / self.slow_clock
+            self.lease_expired_at = (self.until - self.clock_ahead_s) / self.slow_clock
 
     def advance(self) -> None:
         """End the runs that are finished or whose lease has expired."""
@@ -248,7 +248,7 @@
         """Return the incarnation that a delayed order reaches now."""
         now = self._world.at(executor.record.address)
         same = now and now.record.executor_id == executor.record.executor_id
-        return now if now and same and self._world.late_to_next_life else executor
+        return now if now and same and self._world.late_to_next_incarnation else executor
 
     def _start_late(self, sent_to: MemoryExecutor, order: StartOrder, until_s: float) -> None:
         executor = self._current_incarnation(sent_to)
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -10,7 +10,7 @@
 
 from linkspan.errors import Unreachable
 from linkspan.shard.messages import EndKind
-from tests.lapses import LapsingWorld
+from tests.lease_expiry_world import LeaseExpiryWorld
 from tests.standins.memory_executor import ExecutorLink, MemoryExecutor
 
 if TYPE_CHECKING:
@@ -43,16 +43,16 @@
 
 
 @dataclass
-class WideWorld(LapsingWorld):
+class WideWorld(LeaseExpiryWorld):
     """A deployment with host-executor pairs whose link is cut in one direction.
 
     Attributes:
-        deaf: Pairs of host and executor whose calls are carried out but not answered.
+        unanswered_pairs: Pairs of host and executor whose calls are carried out but not answered.
         call_s: Delay of each call of a host to an executor, in each direction, by host.
         first_runs: Executors and start times of the first runs of each job.
     """
 
-    deaf: set[tuple[str, str]] = field(default_factory=set)
+    unanswered_pairs: set[tuple[str, str]] = field(default_factory=set)
     call_s: dict[str, float] = field(default_factory=dict)
     first_runs: defaultdict[str, list[tuple[MemoryExecutor, float]]] = field(
         default_factory=lambda: defaultdict(list)
@@ -103,7 +103,7 @@
         An owner that received no report of such runs has no means to learn of them.
         """
         return all(
-            began < other.lapsed_at or other.clock >= other.until
+            began < other.lease_expired_at or other.clock >= other.until
             for other, began in self.first_runs[job_id]
             if isinstance(other, WideExecutor) and other.record.hall != executor.record.hall
         )
@@ -153,7 +153,7 @@
         await asyncio.sleep(self._wide.call_s.get(self._host, 0.0))
 
     async def _receive_answer(self, address: str) -> None:
-        if (self._host, address) in self._wide.deaf:
+        if (self._host, address) in self._wide.unanswered_pairs:
             await asyncio.sleep(LOST_ANSWER_TIMEOUT_S)
             raise Unreachable("no answer")
         await asyncio.sleep(self._wide.call_s.get(self._host, 0.0))
