--- a/bench/_busy_hall.py
+++ b/bench/_busy_hall.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import Any, TextIO
 
+from tests.event_recorder import EventRecorder
 from tests.hall_executors import HEARTBEAT_S
 from tests.hall_world import HallWorld
 from tests.job_builders import step
-from tests.kept_lines import Lines
 from tests.standins.memory_executor import ExecutorLink
 
 from linkspan.events import EventLog
@@ -52,7 +52,7 @@
         return
 
 
-class WrittenLogLines(Lines):
+class WrittenLogLines(EventRecorder):
     """Log that keeps its lines and also formats them, at the same cost as in a host."""
 
     def __init__(self) -> None:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -297,10 +297,10 @@
 @fault
 async def store_loses_answers(world: World, draw: Random) -> None:
     """Make the store apply appends without a response, either at once or seconds later."""
-    values = {"losing": draw.choice((0.1, 0.4)), "late": draw.random() < 0.5}
+    values = {"lost_answer_share": draw.choice((0.1, 0.4)), "late": draw.random() < 0.5}
     await world.store.send_command("store", values)
     await _hold_fault(draw)
-    await world.store.send_command("store", {"losing": 0.0})
+    await world.store.send_command("store", {"lost_answer_share": 0.0})
 
 
 @fault
--- a/soak/store.py
+++ b/soak/store.py
@@ -32,7 +32,7 @@
             setattr(self._server, name, value)
 
     def store(self, values: dict[str, Any]) -> None:
-        """Set attributes of the store: ``losing``, ``late``."""
+        """Set attributes of the store: ``lost_answer_share``, ``late``."""
         for name, value in values.items():
             setattr(self._server.store, name, value)
 
--- a/soak/world.py
+++ b/soak/world.py
@@ -181,7 +181,7 @@
             proxy.cut = frozenset()
             proxy.delay_s = 0.0
         await self.store.send_command("server", {"status": None, "delay_s": 0.0})
-        await self.store.send_command("store", {"losing": 0.0, "late": False})
+        await self.store.send_command("store", {"lost_answer_share": 0.0, "late": False})
         await self.store.send_command("turn_away", {"refusing": [], "silent": []})
         await self.executors.send_command("world", dict.fromkeys(EXECUTOR_SHARES, 0.0))
         await asyncio.gather(*(host.start() for host in self.hosts.values()))
--- a/tests/kept_lines.py
+++ b/tests/event_recorder.py
@@ -9,7 +9,7 @@
 from tests.virtual_time import HOST, world_time
 
 
-class Lines:
+class EventRecorder:
     """Event log that keeps each event with its time and the host that wrote it."""
 
     def __init__(self) -> None:
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -19,9 +19,9 @@
 from linkspan.shard._context import Executors
 from linkspan.shard.planning.advice import PolicyService
 from linkspan.store.types import Partition, Store
+from tests.event_recorder import EventRecorder
 from tests.hall_callers import HallCallers
 from tests.hall_executors import EXECUTORS, HallExecutors
-from tests.kept_lines import Lines
 from tests.running_host import RunningHost
 from tests.standins.memory_executor import ExecutorLink
 from tests.standins.memory_store import StoreLink
@@ -43,7 +43,7 @@
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.log = Lines()
+        self.log = EventRecorder()
 
     @property
     def problems(self) -> list[str]:
--- a/tests/host/failing_gangs_day.py
+++ b/tests/host/failing_gangs_day.py
@@ -115,7 +115,7 @@
         self.register(executor)
 
     def _lose_writes(self, duration_s: float) -> None:
-        self.store.losing, self.store.late = 0.7, self.fault_random.random() < 0.5
+        self.store.lost_answer_share, self.store.late = 0.7, self.fault_random.random() < 0.5
         later(duration_s, self.store.calm)
 
     def _kill_owner(self, down_s: float) -> None:
--- a/tests/host/overlapping_day.py
+++ b/tests/host/overlapping_day.py
@@ -248,10 +248,10 @@
 @trouble
 async def lose_answers(day: OverlappingDay) -> None:
     """Lose answers of the store; it may apply the requests seconds later."""
-    day.world.store.losing = 0.4
+    day.world.store.lost_answer_share = 0.4
     day.world.store.late = day.random.random() < 0.5
     await day.last(1.0, 4.0)
-    day.world.store.losing = 0.0
+    day.world.store.lost_answer_share = 0.0
 
 
 @trouble
--- a/tests/host/recorded_day.py
+++ b/tests/host/recorded_day.py
@@ -41,7 +41,7 @@
         names = sorted(world.hosts)
         frozen, cut_off = random.sample(names, 2)
         await asyncio.sleep(random.uniform(3.0, 5.0))
-        world.store.losing = random.uniform(0.2, 0.8)
+        world.store.lost_answer_share = random.uniform(0.2, 0.8)
         world.store.late = random.random() < 0.5
         world.store.silent.add(cut_off)
         await self.last(2.0, 4.0)
@@ -51,7 +51,7 @@
         for name in names:
             if name not in (frozen, cut_off):
                 world.kill_host(name)
-        world.store.losing = 0.0
+        world.store.lost_answer_share = 0.0
         await self.last(0.7, 1.2)
         for name in names:
             if name not in world.hosts:
--- a/tests/host/test_answers_in_time.py
+++ b/tests/host/test_answers_in_time.py
@@ -57,7 +57,7 @@
 async def restart_host(world: HallWorld) -> None:
     """Restart the host so that it has its configuration and still reads the jobs."""
     world.kill_host(HOST)
-    world.store.reads_take[HOST, JOBS.topic] = SLOW_READ_S
+    world.store.read_duration_s[HOST, JOBS.topic] = SLOW_READ_S
     host = world.start_host(HOST).host
     await asyncio.sleep(0.5)
     assert host.configuration.current
@@ -90,7 +90,7 @@
 def test_a_known_job_is_shown_during_a_slow_read() -> None:
     async def play() -> None:
         world, spec = await world_with_a_job()
-        world.store.reads_take[HOST, JOBS.topic] = SLOW_READ_S
+        world.store.read_duration_s[HOST, JOBS.topic] = SLOW_READ_S
         await asyncio.sleep(2.5)
         answer = await send_request(world, spec.job_id)
         assert isinstance(answer, web.Response) and state_of(answer) == "running"
@@ -104,7 +104,7 @@
         world, _ = await world_with_a_job()
         unknown = world.new_job(step(1))
         assert (await send_request(world, unknown.job_id)).status == 410
-        world.store.reads_take[HOST, JOBS.topic] = SLOW_READ_S
+        world.store.read_duration_s[HOST, JOBS.topic] = SLOW_READ_S
         await asyncio.sleep(2.5)
         world.store.put(JOBS, *encode(Submitted(unknown, 0, 0.0, "other")))
         assert (await send_request(world, unknown.job_id)).status == 503
@@ -116,7 +116,7 @@
     async def play() -> None:
         world, _ = await world_with_a_job()
         assert (await send_request(world)).status == 200
-        world.store.reads_take[HOST, JOBS.topic] = SLOW_READ_S
+        world.store.read_duration_s[HOST, JOBS.topic] = SLOW_READ_S
         await asyncio.sleep(1.0)
         recent = await send_request(world)
         assert isinstance(recent, web.Response) and isinstance(recent.body, bytes)
--- a/tests/host/test_claims_read_late.py
+++ b/tests/host/test_claims_read_late.py
@@ -32,7 +32,7 @@
         while _last_act(world) is not OwnerAct.CLAIM:
             await asyncio.sleep(0.001)
         claimed_at = time.monotonic()
-        world.store.reads_take[second, OWNERS.topic] = READ_DELAY_S
+        world.store.read_duration_s[second, OWNERS.topic] = READ_DELAY_S
         while candidate.tenure is None:
             await asyncio.sleep(0.005)
         assert time.monotonic() - claimed_at >= READ_DELAY_S / 2
--- a/tests/host/test_first_read.py
+++ b/tests/host/test_first_read.py
@@ -23,7 +23,7 @@
 from linkspan.jobs.spec import JobSpec
 from tests.hall_world import HallWorld
 from tests.job_builders import step
-from tests.standins.memory_store import LISTED_KEYS
+from tests.standins.memory_store import MAX_PAGE_KEYS
 from tests.virtual_time import run_virtual
 
 SECOND_PAGE_S = 0.4
@@ -81,7 +81,7 @@
     spec = world.new_job(step(2, estimate_s=0.8))
     world.specs[spec.job_id] = spec
     world.store.put(JOBS, *encode(Submitted(spec, shard, 0.0, "life-x")))
-    for _ in range(LISTED_KEYS):
+    for _ in range(MAX_PAGE_KEYS):
         world.store.put(JOBS, *encode(_finished(world.new_job(step(1)))))
     await asyncio.sleep(0.05)
     return spec
--- a/tests/host/test_hall_world.py
+++ b/tests/host/test_hall_world.py
@@ -138,7 +138,7 @@
     for _ in range(10):
         await asyncio.sleep(random.uniform(0.5, 3.0))
         await _inject_fault(world)
-    world.late_share = world.lost_answer_share = world.store.losing = 0.0
+    world.late_share = world.lost_answer_share = world.store.lost_answer_share = 0.0
     world.store.refusing.clear()
     world.store.silent.clear()
     world.cuts.clear()
@@ -206,7 +206,7 @@
     elif kind == "silent":
         world.store.silent.update(names)
     elif kind == "lose":
-        world.store.losing = 0.4
+        world.store.lost_answer_share = 0.4
         world.store.late = world.random.random() < 0.5
     elif kind == "cut":
         for name, hall in world.host_names():
@@ -219,7 +219,7 @@
     world.store.refusing.clear()
     world.store.silent.clear()
     world.cuts.clear()
-    world.store.losing = 0.0
+    world.store.lost_answer_share = 0.0
 
 
 def test_a_job_submitted_twice_to_one_host_has_one_record() -> None:
--- a/tests/host/test_job_registry.py
+++ b/tests/host/test_job_registry.py
@@ -8,10 +8,10 @@
 from linkspan.jobs.record_codec import encode
 from linkspan.jobs.records import Moved, Submitted, Tombstone
 from linkspan.store.types import Page, Partition
+from tests.event_recorder import EventRecorder
 from tests.hall_world import HallWorld
 from tests.job_builders import step
-from tests.kept_lines import Lines
-from tests.standins.memory_store import READ_RECORDS, MemoryStore, StoreLink
+from tests.standins.memory_store import MAX_READ_RECORDS, MemoryStore, StoreLink
 from tests.virtual_time import run_virtual
 
 
@@ -22,7 +22,7 @@
         world = HallWorld()
         store = MemoryStore()
         spec = world.new_job(step(1))
-        job_registry = JobRegistry(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
+        job_registry = JobRegistry(StoreLink(store, "host"), "life-1", EventRecorder())  # type: ignore[arg-type]
         follower = asyncio.create_task(job_registry.follower.run())
         await asyncio.sleep(0.1)
         shards: list[int | None] = []
@@ -30,7 +30,7 @@
         store.silent.add("host")
         await asyncio.sleep(3.0)
         store.put(JOBS, *encode(Submitted(spec, 0, 0.0, "life-x")))
-        for _ in range(READ_RECORDS):
+        for _ in range(MAX_READ_RECORDS):
             store.put(JOBS, *encode(Submitted(world.new_job(step(1)), 7, 0.0, "life-x")))
         store.put(JOBS, *encode(Moved(spec.job_id, 1)))
         store.silent.clear()
@@ -40,7 +40,7 @@
 
     shards = run_virtual(play())
     assert sorted(set(shards)) == [1, 7]
-    assert len(shards) == READ_RECORDS + 1
+    assert len(shards) == MAX_READ_RECORDS + 1
 
 
 def test_a_hosts_own_record_does_not_count_before_earlier_records() -> None:
@@ -95,7 +95,7 @@
 
     async def play() -> tuple[bool, bool]:
         store = MemoryStore()
-        job_registry = JobRegistry(_SlowReads(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
+        job_registry = JobRegistry(_SlowReads(store, "host"), "life-1", EventRecorder())  # type: ignore[arg-type]
         writing = asyncio.create_task(job_registry.writer.run())
         await job_registry.refresh(max_age_s=0.0)
         spec = HallWorld().new_job(step(1))
@@ -116,7 +116,7 @@
 
     async def play() -> list[bool]:
         store = MemoryStore()
-        job_registry = JobRegistry(StoreLink(store, "host"), "life-1", Lines())  # type: ignore[arg-type]
+        job_registry = JobRegistry(StoreLink(store, "host"), "life-1", EventRecorder())  # type: ignore[arg-type]
         writing = asyncio.create_task(job_registry.writer.run())
         spec = HallWorld().new_job(step(1))
         offset = await job_registry.write([Submitted(spec, 0, 0.0, "life-1")])
--- a/tests/host/test_one_hall.py
+++ b/tests/host/test_one_hall.py
@@ -19,9 +19,9 @@
 from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.jobs.records import Submitted
 from linkspan.jobs.spec import JobSpec
+from tests.event_recorder import EventRecorder
 from tests.hall_world import HallWorld
 from tests.job_builders import step
-from tests.kept_lines import Lines
 from tests.one_hall import OneHall
 from tests.standins.memory_store import MemoryStore, StoreLink
 from tests.virtual_time import run_virtual
@@ -43,11 +43,11 @@
         first.submit(readers.spec(), 0)
         await asyncio.sleep(1.0)
         spec = readers.spec()
-        readers.store.losing = 1.0
+        readers.store.lost_answer_share = 1.0
         readers.store.silent.add("second")
         first.submit(spec, 0)
         await asyncio.sleep(0.5)
-        readers.store.losing = 0.0
+        readers.store.lost_answer_share = 0.0
         assert second.submit(spec, 1)
         readers.store.silent.clear()
         await asyncio.sleep(0.3)
@@ -90,7 +90,7 @@
         elif fault < 0.18:
             store.silent ^= {name}
         elif fault < 0.25:
-            store.losing, store.late = random.choice((0.0, 0.6)), random.random() < 0.5
+            store.lost_answer_share, store.late = random.choice((0.0, 0.6)), random.random() < 0.5
         found += readers.compare()
     store.calm()
     await asyncio.sleep(8.0)
@@ -101,7 +101,7 @@
     """A host reduced to its job registry and to what its front end does with the registry."""
 
     def __init__(self, store: MemoryStore, name: str, incarnation: str) -> None:
-        self.job_registry = JobRegistry(StoreLink(store, name), incarnation, Lines())  # type: ignore[arg-type]
+        self.job_registry = JobRegistry(StoreLink(store, name), incarnation, EventRecorder())  # type: ignore[arg-type]
         self._incarnation = incarnation
         self._submitting: set[str] = set()
         loops = (self.job_registry.follower.run(), self.job_registry.writer.run())
--- a/tests/host/test_planned_stop.py
+++ b/tests/host/test_planned_stop.py
@@ -100,7 +100,7 @@
         world = HallWorld()
         await world.begin()
         host = world.hosts[HOST].host
-        world.store.reads_take[HOST, JOBS.topic] = ANSWER_S
+        world.store.read_duration_s[HOST, JOBS.topic] = ANSWER_S
         taking = True
         answered = 0
 
--- a/tests/host/test_recovery_reads.py
+++ b/tests/host/test_recovery_reads.py
@@ -11,7 +11,7 @@
 from tests import hall_world
 from tests.hall_world import HallWorld
 from tests.job_builders import step
-from tests.standins.memory_store import LISTED_KEYS, StoreLink
+from tests.standins.memory_store import MAX_PAGE_KEYS, StoreLink
 from tests.virtual_time import run_virtual
 
 PROGRESS = Partition("progress", 0, keyed=True)
@@ -42,7 +42,7 @@
 
     async def play() -> HallWorld:
         world = HallWorld()
-        for number in range(2 * LISTED_KEYS):
+        for number in range(2 * MAX_PAGE_KEYS):
             key = f"{number:016x}.0".encode()
             world.store.apply(PROGRESS, [Record(b"[[0]]", key)], None, None)
         await world.begin()
--- a/tests/host/test_removals_sent_again.py
+++ b/tests/host/test_removals_sent_again.py
@@ -11,9 +11,9 @@
 from linkspan.jobs.job_registry import JOBS, JobRegistry
 from linkspan.jobs.records import Finished, JobState, Submitted, Tombstone
 from linkspan.jobs.spec import JobSpec
+from tests.event_recorder import EventRecorder
 from tests.hall_world import HallWorld
 from tests.job_builders import step
-from tests.kept_lines import Lines
 from tests.standins.memory_store import MemoryStore, StoreLink
 from tests.virtual_time import run_virtual
 
@@ -25,7 +25,7 @@
 
     async def play() -> list[bytes]:
         store = MemoryStore()
-        job_registry = JobRegistry(StoreLink(store, "host"), INCARNATION, Lines())  # type: ignore[arg-type]
+        job_registry = JobRegistry(StoreLink(store, "host"), INCARNATION, EventRecorder())  # type: ignore[arg-type]
         loops = [
             asyncio.create_task(loop)
             for loop in (job_registry.follower.run(), job_registry.writer.run())
@@ -48,7 +48,7 @@
 
     async def play() -> bool:
         store = MemoryStore()
-        job_registry = JobRegistry(StoreLink(store, "host"), INCARNATION, Lines())  # type: ignore[arg-type]
+        job_registry = JobRegistry(StoreLink(store, "host"), INCARNATION, EventRecorder())  # type: ignore[arg-type]
         loops = [
             asyncio.create_task(loop)
             for loop in (job_registry.follower.run(), job_registry.writer.run())
@@ -58,7 +58,7 @@
         await _write_twice(store, job_registry, [end, submission])
         await _write_twice(store, job_registry, [submission, Tombstone("f", spec.job_id)])
         store.forget(JOBS)
-        late = JobRegistry(StoreLink(store, "late"), "life-2", Lines())  # type: ignore[arg-type]
+        late = JobRegistry(StoreLink(store, "late"), "life-2", EventRecorder())  # type: ignore[arg-type]
         loops.append(asyncio.create_task(late.follower.run()))
         await asyncio.sleep(1.0)
         assert late.follower.ready
--- a/tests/host/test_renewals_by_tenure.py
+++ b/tests/host/test_renewals_by_tenure.py
@@ -13,7 +13,7 @@
 from linkspan.shard.ownership.ownership import Claim, Owner, OwnerAct, OwnerRecord
 from linkspan.shard.tenure import Tenure
 from linkspan.store.types import Appended, Partition, Producer, Record
-from tests.kept_lines import Lines
+from tests.event_recorder import EventRecorder
 from tests.standins.memory_store import MemoryStore, StoreLink
 from tests.virtual_time import run_virtual
 
@@ -100,6 +100,6 @@
         incarnation=INCARNATION,
         home=True,
         make_tenure=make,
-        log=Lines(),
+        log=EventRecorder(),
         claim_delay=ClaimDelay(0.0),
     )
--- a/tests/host/test_slow_first_reads.py
+++ b/tests/host/test_slow_first_reads.py
@@ -37,7 +37,7 @@
         for name in names:
             for partition in (JOBS, CONFIGURATION, EXECUTORS):
                 duration_s = world.random.uniform(0.0, SLOWEST_S)
-                world.store.reads_take[name, partition.topic] = duration_s
+                world.store.read_duration_s[name, partition.topic] = duration_s
             world.start_host(name)
         await asyncio.sleep(READ_ANSWERS * SLOWEST_S)
         assert all(running.host.caught_up for running in world.hosts.values())
--- a/tests/host/wide_day.py
+++ b/tests/host/wide_day.py
@@ -133,7 +133,7 @@
         if random.random() < 0.5 and owner and owner != frozen:
             cut_off = owner
         await self.last(2.0, 5.0)
-        world.store.losing = random.uniform(0.2, 0.8)
+        world.store.lost_answer_share = random.uniform(0.2, 0.8)
         world.store.late = random.random() < 0.5
         world.store.silent.add(cut_off)
         if random.random() < 0.4:
@@ -145,7 +145,7 @@
         await self.last(0.0, 0.5)
         killed = [name for name in names if name not in (frozen, cut_off) and name in world.hosts]
         self._kill(killed)
-        world.store.losing = 0.0
+        world.store.lost_answer_share = 0.0
         await self.last(0.5, 1.2)
         self._start(killed)
         await self.last(0.2, 1.5)
--- a/tests/standins/memory_store.py
+++ b/tests/standins/memory_store.py
@@ -22,10 +22,10 @@
 ANSWER_S = 0.004
 TIMEOUT_S = 1.0
 
-READ_RECORDS = 40
+MAX_READ_RECORDS = 40
 """Maximum records in one answer to a read: few, so that readers receive groups in parts."""
 
-LISTED_KEYS = 20
+MAX_PAGE_KEYS = 20
 """Maximum keys in one page of the newest records. The pages are read at different times."""
 
 
@@ -49,8 +49,8 @@
     Attributes:
         refusing: Hosts whose calls are refused.
         silent: Hosts whose calls are neither carried out nor answered.
-        reads_take: Duration of answers to reads in seconds, by host and topic.
-        losing: Probability that an append is carried out but not answered.
+        read_duration_s: Duration of answers to reads in seconds, by host and topic.
+        lost_answer_share: Probability that an append is carried out but not answered.
         late: Whether appends without an answer are carried out seconds later.
         page_delays: Delays in seconds of a host's next calls for pages of newest records, by
             host and partition.
@@ -61,8 +61,8 @@
         self.random = Random(seed)
         self.refusing: set[str] = set()
         self.silent: set[str] = set()
-        self.reads_take: dict[tuple[str, str], float] = {}
-        self.losing = 0.0
+        self.read_duration_s: dict[tuple[str, str], float] = {}
+        self.lost_answer_share = 0.0
         self.late = False
         self.page_delays: defaultdict[tuple[str, Partition], list[float]] = defaultdict(list)
 
@@ -78,7 +78,7 @@
         """End all refusals, silences and losses."""
         self.refusing.clear()
         self.silent.clear()
-        self.losing = 0.0
+        self.lost_answer_share = 0.0
 
     def forget(self, partition: Partition) -> None:
         """Drop a partition's records except the newest one of each key."""
@@ -139,8 +139,8 @@
 class StoreLink:
     """Link of one host to the store."""
 
-    listed_keys = LISTED_KEYS
-    read_records = READ_RECORDS
+    listed_keys = MAX_PAGE_KEYS
+    read_records = MAX_READ_RECORDS
 
     def __init__(self, store: MemoryStore, host: str) -> None:
         self._store = store
@@ -156,7 +156,7 @@
     ) -> Appended:
         await self._reach()
         store = self._store
-        if store.losing and store.random.random() < store.losing:
+        if store.lost_answer_share and store.random.random() < store.lost_answer_share:
             await self._lose(partition, records, at, producer)
         answer = store.apply(partition, records, at, producer)
         await asyncio.sleep(ANSWER_S / 2)
@@ -239,7 +239,7 @@
         return page
 
     async def _send_answer(self, partition: Partition) -> None:
-        duration_s = self._store.reads_take.get((self._host, partition.topic), 0.0)
+        duration_s = self._store.read_duration_s.get((self._host, partition.topic), 0.0)
         await asyncio.sleep(max(ANSWER_S / 2, duration_s))
 
     async def _reach(self) -> None:
--- a/tests/store/test_key_snapshots.py
+++ b/tests/store/test_key_snapshots.py
@@ -16,7 +16,7 @@
 from linkspan.store.follower import Follower
 from linkspan.store.keyed_snapshot import KeyedSnapshot
 from linkspan.store.types import Entry, KeyPage, Page, Partition
-from tests.standins.memory_store import LISTED_KEYS, READ_RECORDS, MemoryStore, StoreLink
+from tests.standins.memory_store import MAX_PAGE_KEYS, MAX_READ_RECORDS, MemoryStore, StoreLink
 from tests.virtual_time import run_virtual
 
 KEYED = Partition("keyed", keyed=True)
@@ -92,7 +92,7 @@
         return tuple(entry for entry in newest.values() if entry.value), snapshot.end
 
 
-def fill(store: MemoryStore, *, keys: int = LISTED_KEYS + 1) -> None:
+def fill(store: MemoryStore, *, keys: int = MAX_PAGE_KEYS + 1) -> None:
     """Write keys, by default as many as fill one page and need a second one."""
     for number in range(keys):
         store.put(KEYED, b"k%03d" % number, b"old")
@@ -116,7 +116,7 @@
         store.put(KEYED, b"f:job", b"finished")
         store.put(KEYED, b"s:job", b"")
         store.put(KEYED, b"k000", b"")
-        for _ in range(READ_RECORDS):
+        for _ in range(MAX_READ_RECORDS):
             store.put(KEYED, b"k001", b"new")
         entries, end = await reading
         read = {entry.key: entry.value for entry in entries}
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -29,7 +29,7 @@
 def test_lost_answers_duplicate_no_record(seed: int, late: bool) -> None:
     async def play() -> MemoryStore:
         store = MemoryStore(seed)
-        store.losing, store.late = 0.5, late
+        store.lost_answer_share, store.late = 0.5, late
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=1)
         running = asyncio.create_task(writer.run())
         offsets = []
@@ -68,12 +68,12 @@
 def test_a_write_without_retries_and_of_unknown_outcome_does_not_fail() -> None:
     async def play() -> MemoryStore:
         store = MemoryStore()
-        store.losing, store.late = 1.0, True
+        store.lost_answer_share, store.late = 1.0, True
         writer = GroupWriter(StoreLink(store, "h"), LOG, name="w", epoch=1)
         running = asyncio.create_task(writer.run())
         write = writer.write([Record(b"a")], retry_refused=False)
         await asyncio.sleep(0.5)
-        store.losing = 0.0
+        store.lost_answer_share = 0.0
         store.refusing.add("h")
         await asyncio.sleep(2.0)
         assert not write.done(), "the outcome of the append is still unknown"
