--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -42,11 +42,11 @@
     1004: Regression(
         "TWICE: ends behind one of an unread job were missing from a report while the store was "
         "unavailable, and the owner considered their runs lost",
-        "tests/shard/test_cut_reports.py",
+        "tests/shard/test_incomplete_reports.py",
     ),
     102: Regression(
         "LIMIT by the judge: each change of an executor's capacity discarded the previous one",
-        "tests/host/test_shrinking_room.py",
+        "tests/host/test_shrinking_capacity.py",
     ),
     9228: Regression(
         "BUDGET: two owners were lost before a start of a crashing task was durable",
--- a/tests/host/crashing_day.py
+++ b/tests/host/crashing_day.py
@@ -15,7 +15,7 @@
 """Delay between a task's start and the crash of its executor, as in the incident that users
 reported."""
 
-GIVEN_UP_S = 40.0
+MAX_GIVE_UP_S = 40.0
 """Time within which the owner gives up a task that crashes its executors: up to four crashes,
 each detected by silence after at most one lease of ten seconds."""
 
@@ -23,7 +23,7 @@
 """Step index and task index of a job's first task."""
 
 
-async def day(**fields: Any) -> HallWorld:
+async def crashing_world(**fields: Any) -> HallWorld:
     """Start two halls of six executors each; a crash resets the executor's connections."""
     world = HallWorld(
         halls=("east", "west"), **{"executors_per_hall": 6, "resets": True, "seed": 7, **fields}
--- a/tests/host/overlapping_day.py
+++ b/tests/host/overlapping_day.py
@@ -49,7 +49,7 @@
     """The traffic and the faults of one seed.
 
     Attributes:
-        told: Times and names of the faults that were injected.
+        fault_log: Times and names of the faults that were injected.
 
     Args:
         seed: Seed of all random choices.
@@ -75,7 +75,7 @@
         self._jobs_per_s = jobs_per_s
         self._troubles = troubles
         self._standing = 0
-        self.told: list[str] = []
+        self.fault_log: list[str] = []
 
     async def play(self) -> HallWorld:
         """Run the scenario and return its world, with the violations it found."""
@@ -108,7 +108,7 @@
     async def _trouble(self, at: float) -> None:
         name = self.random.choice(sorted(TROUBLES))
         await asyncio.sleep(at)
-        self.told.append(f"{asyncio.get_running_loop().time():.2f} {name}")
+        self.fault_log.append(f"{asyncio.get_running_loop().time():.2f} {name}")
         await TROUBLES[name](self)
 
     async def _traffic(self, group: asyncio.TaskGroup) -> None:
--- a/tests/host/owner_waits.py
+++ b/tests/host/owner_waits.py
@@ -24,7 +24,7 @@
 
 
 async def until(
-    condition: Callable[[], bool], *, limit_s: float, look_s: float = _CHECK_INTERVAL_S
+    condition: Callable[[], bool], *, limit_s: float, check_interval_s: float = _CHECK_INTERVAL_S
 ) -> None:
     """Wait until a condition holds.
 
@@ -33,4 +33,4 @@
     """
     async with asyncio.timeout(limit_s):
         while not condition():
-            await asyncio.sleep(look_s)
+            await asyncio.sleep(check_interval_s)
--- a/tests/host/removed_queue_day.py
+++ b/tests/host/removed_queue_day.py
@@ -102,10 +102,10 @@
     """Accept a job for the first hall, as a host with an outdated view of its capacity does."""
     world.specs[spec.job_id] = spec
     world.accepted.add(spec.job_id)
-    world.store.put(JOBS, *encode(accepted(spec, world.queue)))
+    world.store.put(JOBS, *encode(submitted_record(spec, world.queue)))
 
 
-def accepted(spec: JobSpec, queue: Queue) -> Submitted:
+def submitted_record(spec: JobSpec, queue: Queue) -> Submitted:
     """Return the record of a job that is accepted for the first hall."""
     return Submitted(spec, 0, time.time(), "life-x", queue.terms)
 
--- a/tests/host/restarting_day.py
+++ b/tests/host/restarting_day.py
@@ -17,7 +17,7 @@
 SUBMISSION_INTERVAL_S = 0.15
 """Interval between two submissions."""
 
-FALL_AT_S = 4.0
+FIRST_CRASH_S = 4.0
 """Time of the first crash after the first job: executors have reported some ends by then."""
 
 SETTLED_S = 35.0
@@ -37,7 +37,7 @@
         clock_s: Time that their clocks show after the restart; ``None`` for clocks that continue.
         times: Number of crashes.
         every_s: Interval between two crashes.
-        beside: Function that is called at each crash.
+        on_crash: Function that is called at each crash.
         at_s: Time of the first crash after the first job.
     """
 
@@ -46,8 +46,8 @@
     clock_s: float | None = 0.0
     times: int = 1
     every_s: float = 3.0
-    beside: Callable[[HallWorld], None] = lambda _world: None
-    at_s: float = FALL_AT_S
+    on_crash: Callable[[HallWorld], None] = lambda _world: None
+    at_s: float = FIRST_CRASH_S
 
 
 @dataclass
@@ -84,7 +84,7 @@
     *,
     jobs: int = JOB_COUNT,
     tasks: int = 4,
-    length_s: float = 0.6,
+    duration_s: float = 0.6,
     **fields: object,
 ) -> RestartingDay:
     """Run a scenario in one hall, or in as many as ``fields`` gives.
@@ -93,7 +93,7 @@
         restarts: How executors crash and restart.
         jobs: Number of jobs without standing tasks.
         tasks: Number of tasks of each job.
-        length_s: Duration of each task.
+        duration_s: Duration of each task.
         fields: Further fields of the deployment.
     """
     world = HallWorld(**{"seed": 9, **fields})  # type: ignore[arg-type]
@@ -107,7 +107,7 @@
     async with asyncio.TaskGroup() as group:
         group.create_task(_crash_repeatedly(world, restarts))
         for _ in range(jobs):
-            spec = world.new_job(step(tasks, estimate_s=length_s))
+            spec = world.new_job(step(tasks, estimate_s=duration_s))
             group.create_task(_submit_until_accepted(world, spec))
             day.jobs.append(spec)
             await asyncio.sleep(SUBMISSION_INTERVAL_S)
@@ -133,5 +133,5 @@
         for address in restarts.addresses:
             if world.executors[address].alive:
                 world.restart_executor(address, down_s=restarts.down_s, clock_s=restarts.clock_s)
-        restarts.beside(world)
+        restarts.on_crash(world)
         await asyncio.sleep(restarts.every_s)
--- a/tests/host/restarting_troubles.py
+++ b/tests/host/restarting_troubles.py
@@ -46,7 +46,7 @@
             await super()._trouble(at)
             return
         await asyncio.sleep(at)
-        self.told.append(f"{asyncio.get_running_loop().time():.2f} restarts")
+        self.fault_log.append(f"{asyncio.get_running_loop().time():.2f} restarts")
         self.world.record_fault()
         addresses = self._addresses()
         cut = self._cut(addresses) if self.random.random() < 0.3 else set()
@@ -95,7 +95,7 @@
 """Maximum delay of such an order."""
 
 
-async def drawn_late(seed: int) -> tuple[HallWorld, list[str]]:
+async def run_random_late(seed: int) -> tuple[HallWorld, list[str]]:
     """Run a scenario in which delayed orders reach the incarnation that has the id on arrival.
 
     Returns:
@@ -105,10 +105,10 @@
     day.world.late_to_next_incarnation = True
     day.world.late_share = LATE_SHARE
     day.world.max_order_delay_s = MAX_ORDER_DELAY_S
-    return await day.play(), day.told
+    return await day.play(), day.fault_log
 
 
-async def drawn(seed: int) -> tuple[HallWorld, list[str]]:
+async def run_random(seed: int) -> tuple[HallWorld, list[str]]:
     """Run a scenario and return its world, and the times and names of the faults."""
     day = RestartingTroubles(seed)
-    return await day.play(), day.told
+    return await day.play(), day.fault_log
--- a/tests/host/returning_day.py
+++ b/tests/host/returning_day.py
@@ -170,7 +170,7 @@
     return ReturningOutcome(world, task, state, len(world.log.named("OWNER_CLAIMED")))
 
 
-async def told_twice(seed: int) -> ReturningOutcome:
+async def reported_twice(seed: int) -> ReturningOutcome:
     """Report a failed end twice to one owner, which lost the write of the first count.
 
     The executor is cut off before the end is acknowledged. The owner does not change.
@@ -197,7 +197,7 @@
     return await _outcome(world, task)
 
 
-async def told_late(seed: int) -> ReturningOutcome:
+async def reported_late(seed: int) -> ReturningOutcome:
     """Report a failed run only after its lease has expired and the next run has started.
 
     The owner may change between the two.
--- a/tests/host/short_work.py
+++ b/tests/host/short_work.py
@@ -16,10 +16,10 @@
     spec = world.new_job(step(standing, standing=True, cpu=5_000))
     assert await world.submit("east-host-0", spec) == 200
     await asyncio.sleep(1.0)
-    assert at_work(world) == standing
+    assert running_count(world) == standing
 
 
-def at_work(world: HallWorld) -> int:
+def running_count(world: HallWorld) -> int:
     """Return the number of runs that are not being stopped."""
     alive = (e for e in world.executors.values() if e.alive)
     return sum(not run.stopping for e in alive for run in e.running.values())
--- a/tests/host/standing_entries_day.py
+++ b/tests/host/stale_entries_day.py
@@ -18,7 +18,7 @@
 """Faults that this scenario leaves out."""
 
 
-class StandingEntriesWorld(HallWorld):
+class StaleEntriesWorld(HallWorld):
     """A deployment whose crashed executors stay registered for as long as on the platform."""
 
     def crash_executor(self, address: str, *, back: bool = True) -> None:
@@ -48,7 +48,7 @@
             world.register(executor)
 
 
-class StandingEntriesDay(OverlappingDay):
+class StaleEntriesDay(OverlappingDay):
     """The traffic and the faults of one seed.
 
     Args:
@@ -57,7 +57,7 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, halls=("east", "west"), troubles=14, jobs_per_s=3.0)
-        self.world = StandingEntriesWorld(
+        self.world = StaleEntriesWorld(
             halls=("east", "west"), seed=seed, failing_share=0.02, lists_machines=False
         )
         self._kinds = {
@@ -68,5 +68,5 @@
     async def _trouble(self, at: float) -> None:
         name = self.random.choice(sorted(self._kinds))
         await asyncio.sleep(at)
-        self.told.append(f"{asyncio.get_running_loop().time():.2f} {name}")
+        self.fault_log.append(f"{asyncio.get_running_loop().time():.2f} {name}")
         await self._kinds[name](self)
--- a/tests/host/test_crashes_on_no_record.py
+++ b/tests/host/test_crashes_on_no_record.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from tests.host.crashing_day import GIVEN_UP_S, submit_crashing
+from tests.host.crashing_day import MAX_GIVE_UP_S, submit_crashing
 from tests.job_builders import step
 from tests.part_world import PartWorld
 from tests.virtual_time import run_virtual
@@ -34,7 +34,7 @@
     spec = await submit_crashing(world, step(estimate_s=30.0), after_s=CRASH_AFTER_S)
     (task,) = world.crashing.after_s
     crash_count = 0
-    for _ in range(int(2 * GIVEN_UP_S / CHECK_INTERVAL_S)):
+    for _ in range(int(2 * MAX_GIVE_UP_S / CHECK_INTERVAL_S)):
         await asyncio.sleep(CHECK_INTERVAL_S)
         if world.crashing.crash_counts[task] == crash_count:
             continue
--- a/tests/host/test_crashing_days.py
+++ b/tests/host/test_crashing_days.py
@@ -15,7 +15,7 @@
 
 from linkspan.jobs.spec import JobSpec, StepSpec
 from tests.hall_world import HallWorld
-from tests.host.crashing_day import crash_under, day, states
+from tests.host.crashing_day import crash_under, crashing_world, states
 from tests.job_builders import step
 from tests.virtual_time import run_virtual
 
@@ -87,7 +87,7 @@
 
 async def _run_scenario(seed: int, *, troubled: bool) -> tuple[CrashingDay, list[str], list[str]]:
     rng = Random(seed)
-    world = await day(
+    world = await crashing_world(
         seed=seed,
         executors_per_hall=rng.choice([2, 4, 6]),
         resets=rng.random() < 0.5,
--- a/tests/host/test_crashing_tasks.py
+++ b/tests/host/test_crashing_tasks.py
@@ -21,10 +21,10 @@
 from tests.hall_world import HallWorld
 from tests.host.crashing_day import (
     AT_ONCE_S,
-    GIVEN_UP_S,
+    MAX_GIVE_UP_S,
     crash_hall,
     crash_under,
-    day,
+    crashing_world,
     states,
     submit,
     submit_crashing,
@@ -47,9 +47,9 @@
 
 async def _run_one_job(*steps: StepSpec, after_s: float = AT_ONCE_S, **fields: Any) -> Outcome:
     """Run a job whose first task crashes its executors, and return the world and its state."""
-    world = await day(**fields)
+    world = await crashing_world(**fields)
     spec = await submit_crashing(world, *steps, after_s=after_s)
-    await asyncio.sleep(GIVEN_UP_S)
+    await asyncio.sleep(MAX_GIVE_UP_S)
     return world, await states(world, [spec])
 
 
@@ -102,9 +102,9 @@
 
 def test_four_simultaneous_crashing_tasks_are_given_up() -> None:
     async def scenario() -> Outcome:
-        world = await day()
+        world = await crashing_world()
         specs = [await submit_crashing(world, step(estimate_s=LONG_S)) for _ in range(4)]
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, specs)
 
     world, job_states = _run(scenario())
@@ -114,7 +114,7 @@
 
 def test_successive_owners_continue_the_crash_count() -> None:
     async def scenario() -> Outcome:
-        world = await day()
+        world = await crashing_world()
         spec = await submit_crashing(world, step(estimate_s=LONG_S), after_s=0.3)
         for _ in range(4):
             await asyncio.sleep(3.0)
@@ -122,7 +122,7 @@
             if owner in world.hosts:
                 world.kill_host(owner)
                 world.start_host(owner)
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, [spec])
 
     world, job_states = _run(scenario())
@@ -134,13 +134,13 @@
     """No start is sent that the next owner could not count."""
 
     async def scenario() -> Outcome:
-        world = await day()
+        world = await crashing_world()
         spec = await submit_crashing(world, step(estimate_s=LONG_S))
         await asyncio.sleep(0.5)
         world.store.refusing |= {name for name, _ in world.host_names()}
         await asyncio.sleep(6.0)
         world.store.calm()
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, [spec])
 
     world, job_states = _run(scenario())
@@ -150,7 +150,7 @@
 
 def test_a_crashing_repetition_of_a_scheduled_job_is_given_up() -> None:
     async def scenario() -> Outcome:
-        world = await day()
+        world = await crashing_world()
         now = EPOCH + asyncio.get_running_loop().time()
         plain = world.new_job(step(estimate_s=0.5))
         spec = JobSpec(
@@ -158,7 +158,7 @@
         )
         crash_under(world, spec, repetition=1)
         assert await world.submit("east-host-0", spec) == 200
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, [spec])
 
     world, job_states = _run(scenario())
@@ -170,11 +170,11 @@
     """The home hall is full: the count follows the delegation, and the whole job fails."""
 
     async def scenario() -> Outcome:
-        world = await day(executors_per_hall=2)
+        world = await crashing_world(executors_per_hall=2)
         filler = [await submit(world, step(6, cpu=2_000, standing=True)) for _ in range(1)]
         await asyncio.sleep(3.0)
         spec = await submit_crashing(world, step(3, cpu=1_900, standing=True), tasks=[(0, 2)])
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, [*filler, spec])
 
     world, job_states = _run(scenario())
@@ -186,11 +186,11 @@
     """Each crash also ends the other runs of the executor, which must not count against them."""
 
     async def scenario() -> Outcome:
-        world = await day()
+        world = await crashing_world()
         others = [await submit(world, step(8, estimate_s=2.0)) for _ in range(5)]
         spec = await submit_crashing(world, step(estimate_s=LONG_S))
         others += [await submit(world, step(8, estimate_s=2.0)) for _ in range(3)]
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, [*others, spec])
 
     world, job_states = _run(scenario())
@@ -203,7 +203,7 @@
     """Forty tasks are present at each crash, which is evidence against none of them."""
 
     async def scenario() -> Outcome:
-        world = await day()
+        world = await crashing_world()
         specs = [await submit(world, step(8, estimate_s=12.0)) for _ in range(5)]
         for _ in range(3):
             await asyncio.sleep(pause_s)
@@ -220,7 +220,7 @@
     """A task that has run for long is not the cause of a crash, however often crashes recur."""
 
     async def scenario() -> Outcome:
-        world = await day(executors_per_hall=1)
+        world = await crashing_world(executors_per_hall=1)
         specs = [await submit(world, step(4, standing=True))]
         for _ in range(6):
             await asyncio.sleep(30.0)
@@ -243,9 +243,9 @@
     """
 
     async def scenario() -> Outcome:
-        world = await day(executors_per_hall=3, crash_restart_s=LONG_S)
+        world = await crashing_world(executors_per_hall=3, crash_restart_s=LONG_S)
         spec = await submit_crashing(world, step(standing=True), after_s=5.0)
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(MAX_GIVE_UP_S)
         return world, await states(world, [spec])
 
     world, job_states = _run(scenario())
@@ -266,11 +266,11 @@
     """
 
     async def scenario() -> Outcome:
-        world = await day(hosts_per_hall=3)
+        world = await crashing_world(hosts_per_hall=3)
         spec = await submit_crashing(world, step(estimate_s=LONG_S))
         (task,) = world.crashing.after_s
         crash_count = 0
-        for _ in range(int(2 * GIVEN_UP_S / CHECK_INTERVAL_S)):
+        for _ in range(int(2 * MAX_GIVE_UP_S / CHECK_INTERVAL_S)):
             await asyncio.sleep(CHECK_INTERVAL_S)
             if world.crashing.crash_counts[task] == crash_count:
                 continue
--- a/tests/host/test_delayed_orders.py
+++ b/tests/host/test_delayed_orders.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.hall_world import HallWorld
-from tests.host.restarting_day import FALL_AT_S, RestartingDay, Restarts, play
+from tests.host.restarting_day import FIRST_CRASH_S, RestartingDay, Restarts, play
 from tests.virtual_time import run_virtual
 
 LATE_SHARE = 0.3
@@ -70,7 +70,7 @@
             asyncio.get_running_loop().call_later(LATE_FOR_S, setattr, world, "late_share", 0.0)
             beside(world)
 
-    restarts = Restarts(down_s=0.5, times=3, every_s=1.7, beside=on_crash, at_s=FALL_AT_S)
+    restarts = Restarts(down_s=0.5, times=3, every_s=1.7, on_crash=on_crash, at_s=FIRST_CRASH_S)
     return await play(
         restarts,
         seed=seed,
--- a/tests/host/test_ends_forgotten_unread.py
+++ b/tests/host/test_ends_forgotten_unread.py
@@ -26,5 +26,5 @@
 def test_a_delayed_poll_discards_no_end_of_the_next_incarnation(moment: int) -> None:
     """Guards against a poll that waits at the next incarnation and discards unreported ends."""
     restarts = Restarts(down_s=0.01, times=4, every_s=1.3, at_s=4.0 + moment * MOMENT_INTERVAL_S)
-    scenario = play(restarts, tasks=3, length_s=0.3, entry_after_s=HEARTBEAT_S)
+    scenario = play(restarts, tasks=3, duration_s=0.3, entry_after_s=HEARTBEAT_S)
     assert run_virtual(scenario, limit_s=400.0).world.problems == []
--- a/tests/host/test_entries_of_other_writers.py
+++ b/tests/host/test_entries_of_other_writers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.hall_world import HallWorld
-from tests.host.short_work import assert_each_began_once, at_work, begin, run_short
+from tests.host.short_work import assert_each_began_once, begin, run_short, running_count
 from tests.standins.memory_executor import MemoryExecutor
 from tests.virtual_time import run_virtual
 
@@ -60,7 +60,7 @@
         for executor in world.executors.values():
             world.register(executor)
         await asyncio.sleep(10.0)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     assert_each_began_once(run_virtual(play()), 3)
@@ -75,7 +75,7 @@
         world.enter(overwritten.record.executor_id, FOREIGN_ENTRIES[kind](world, overwritten))
         await asyncio.sleep(6.0)
         assert not overwritten.running
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     assert run_virtual(play()).problems == []
@@ -92,7 +92,7 @@
             world.enter(f"odd-{number}", FOREIGN_ENTRIES[kind](world, executor))
         await asyncio.sleep(10.0)
         await run_short(world, 20)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     world = run_virtual(play())
--- a/tests/host/test_executor_restarts.py
+++ b/tests/host/test_executor_restarts.py
@@ -88,7 +88,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(2.0, world.start_host, owner, context=Context())
 
-    restarts = Restarts(clock_s=CLOCKS[clock], beside=kill_owner)
+    restarts = Restarts(clock_s=CLOCKS[clock], on_crash=kill_owner)
     _assert_all_work_done(_run_scenario(restarts, lists_machines=machines))
 
 
--- a/tests/host/test_first_lease.py
+++ b/tests/host/test_first_lease.py
@@ -46,13 +46,15 @@
         await until(
             lambda: world.hosts[second].host.candidates[0].tenure is not None,
             limit_s=MAX_WAIT_S,
-            look_s=CHECK_INTERVAL_S,
+            check_interval_s=CHECK_INTERVAL_S,
         )
         world.store.silent.add(second)
         await asyncio.sleep(STORE_DOWN_S)
         world.store.silent.discard(second)
         await until(
-            lambda: _has_report(world, second, busy), limit_s=MAX_WAIT_S, look_s=CHECK_INTERVAL_S
+            lambda: _has_report(world, second, busy),
+            limit_s=MAX_WAIT_S,
+            check_interval_s=CHECK_INTERVAL_S,
         )
         await _wait_out_lease(world, second, busy, silent)
         return world
@@ -66,7 +68,9 @@
         world, first, second, busy = await _start_task()
         world.kill_host(first)
         await until(
-            lambda: _has_report(world, second, busy), limit_s=MAX_WAIT_S, look_s=CHECK_INTERVAL_S
+            lambda: _has_report(world, second, busy),
+            limit_s=MAX_WAIT_S,
+            check_interval_s=CHECK_INTERVAL_S,
         )
         running = world.hosts[second]
         world.freeze_host(second)
--- a/tests/host/test_orders_of_former_owners.py
+++ b/tests/host/test_orders_of_former_owners.py
@@ -18,7 +18,7 @@
 
 from tests.hall_executors import HEARTBEAT_S
 from tests.hall_world import HallWorld
-from tests.host.restarting_day import FALL_AT_S, RestartingDay, Restarts, play
+from tests.host.restarting_day import FIRST_CRASH_S, RestartingDay, Restarts, play
 from tests.virtual_time import run_virtual
 
 LATE_SHARE = 0.3
@@ -111,7 +111,7 @@
         **fields: Further arguments of the day.
     """
     return await play(
-        Restarts(addresses=(), beside=begin, at_s=FALL_AT_S - LATE_FOR_S),
+        Restarts(addresses=(), on_crash=begin, at_s=FIRST_CRASH_S - LATE_FOR_S),
         seed=seed,
         max_order_delay_s=MAX_ORDER_DELAY_S,
         late_to_next_incarnation=True,
--- a/tests/host/test_overlapping_troubles.py
+++ b/tests/host/test_overlapping_troubles.py
@@ -12,4 +12,4 @@
 def test_overlapping_troubles_break_no_promise(seed: int) -> None:
     day = OverlappingDay(seed)
     world = run_virtual(day.play(), limit_s=400.0)
-    assert world.problems == [], day.told
+    assert world.problems == [], day.fault_log
--- a/tests/host/test_registrations.py
+++ b/tests/host/test_registrations.py
@@ -13,7 +13,7 @@
 from linkspan.shard.messages import TaskName
 from tests.hall_executors import EXECUTORS
 from tests.hall_world import HallWorld
-from tests.host.short_work import assert_each_began_once, at_work, begin, run_short
+from tests.host.short_work import assert_each_began_once, begin, run_short, running_count
 from tests.job_builders import step
 from tests.standins.memory_executor import MemoryExecutor
 from tests.virtual_time import run_virtual
@@ -40,7 +40,7 @@
         world = HallWorld()
         await begin(world, standing=3)
         await asyncio.sleep(60.0)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         assert await run_short(world, 6) < 2.0
         return world
 
@@ -63,7 +63,7 @@
         for executor in world.executors.values():
             world.register(executor)
         await asyncio.sleep(10.0)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     assert_each_began_once(run_virtual(play()), 9)
@@ -127,7 +127,7 @@
         world.register(only)
         await asyncio.sleep(0.5)
         assert await run_short(world, 2) < 2.0
-        assert at_work(world) == 1
+        assert running_count(world) == 1
         return world
 
     assert_each_began_once(run_virtual(play()), 3)
@@ -143,7 +143,7 @@
         world.register(leaving, draining=True)
         await asyncio.sleep(2.0)
         assert not leaving.running
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         number_before = leaving.last_number
         for _ in range(6):
             # More tasks than fit on the others at once.
@@ -152,7 +152,7 @@
         assert leaving.last_number == number_before
         world.crash_executor(leaving.record.address, back=False)
         await asyncio.sleep(5.0)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     world = run_virtual(play())
@@ -171,7 +171,7 @@
         assert not leaving.running
         world.crash_executor(leaving.record.address, back=False)
         await asyncio.sleep(0.5)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     assert run_virtual(play()).problems == []
@@ -193,7 +193,7 @@
         min_running = 4
         for _ in range(200):
             await asyncio.sleep(0.1)
-            min_running = min(min_running, at_work(world))
+            min_running = min(min_running, running_count(world))
         assert not only.running
         assert min_running == 3
         return world
@@ -218,7 +218,7 @@
         for executor in busy:
             world.register(executor)
         await asyncio.sleep(10.0)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     assert_each_began_once(run_virtual(play()), 3)
@@ -259,7 +259,7 @@
         assert len(missing.running) == lost
         world.crash_executor(missing.record.address, back=False)
         await asyncio.sleep(limit_s)
-        assert at_work(world) == 3
+        assert running_count(world) == 3
         return world
 
     assert run_virtual(play()).problems == []
--- a/tests/host/test_restarting_days.py
+++ b/tests/host/test_restarting_days.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from tests.host.restarting_troubles import drawn, drawn_late
+from tests.host.restarting_troubles import run_random, run_random_late
 from tests.virtual_time import run_virtual
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_restarts_beside_other_faults_break_no_promise(seed: int) -> None:
-    world, faults = run_virtual(drawn(seed), limit_s=400.0)
+    world, faults = run_virtual(run_random(seed), limit_s=400.0)
     assert world.problems == [], faults
 
 
@@ -22,5 +22,5 @@
     it was sent again and its end acknowledged. Then the incarnation crashed, and the order arrived
     at the next one, which knew of no stop and had seen no token.
     """
-    world, faults = run_virtual(drawn_late(seed), limit_s=400.0)
+    world, faults = run_virtual(run_random_late(seed), limit_s=400.0)
     assert world.problems == [], faults
--- a/tests/host/test_returning_executors.py
+++ b/tests/host/test_returning_executors.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.host.returning_day import renewed_after, told_late, told_twice
+from tests.host.returning_day import renewed_after, reported_late, reported_twice
 from tests.virtual_time import run_virtual
 
 
@@ -15,7 +15,7 @@
     Its queue allows two. The write of the first count was lost, or late, for under a second, and
     the executor was unreachable until its leases had expired and its entry was gone.
     """
-    played = run_virtual(told_twice(seed))
+    played = run_virtual(reported_twice(seed))
     assert played.world.problems == []
     assert played.state == "succeeded"
     assert played.owners == 1
@@ -28,7 +28,7 @@
 
     When its end was reported, its attempt had been given up, and the owner may have changed.
     """
-    played = run_virtual(told_late(seed))
+    played = run_virtual(reported_late(seed))
     assert played.world.problems == []
     assert played.state == "failed"
     assert len(played.world.starts[played.task]) == 2
--- a/tests/host/test_standing_entries.py
+++ b/tests/host/test_stale_entries.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from tests.host.standing_entries_day import StandingEntriesDay
+from tests.host.stale_entries_day import StaleEntriesDay
 from tests.virtual_time import run_virtual
 
 
 @pytest.mark.parametrize("seed", [147, 278, 384])
 def test_stale_and_missing_entries_break_no_promise(seed: int) -> None:
-    day = StandingEntriesDay(seed)
+    day = StaleEntriesDay(seed)
     world = run_virtual(day.play(), limit_s=400.0)
-    assert world.problems == [], day.told
+    assert world.problems == [], day.fault_log
--- a/tests/host/test_standing_days.py
+++ b/tests/host/test_standing_days.py
@@ -15,4 +15,4 @@
 def test_no_standing_task_is_forgotten(seed: int) -> None:
     day = StandingDay(seed)
     world = run_virtual(day.play(), limit_s=400.0)
-    assert world.problems == [], day.told
+    assert world.problems == [], day.fault_log
--- a/tests/host/test_unanswered_crashes.py
+++ b/tests/host/test_unanswered_crashes.py
@@ -7,15 +7,15 @@
 import pytest
 
 from tests.hall_world import HallWorld
-from tests.host.crashing_day import GIVEN_UP_S, day, states, submit_crashing
+from tests.host.crashing_day import MAX_GIVE_UP_S, crashing_world, states, submit_crashing
 from tests.job_builders import step
 from tests.virtual_time import run_virtual
 
 
 async def _played(after_s: float, **fields: object) -> tuple[HallWorld, list[str]]:
-    world = await day(**fields)
+    world = await crashing_world(**fields)
     spec = await submit_crashing(world, step(estimate_s=30.0), after_s=after_s)
-    await asyncio.sleep(GIVEN_UP_S)
+    await asyncio.sleep(MAX_GIVE_UP_S)
     return world, await states(world, [spec])
 
 
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -15,7 +15,7 @@
 from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.hall_world import HallWorld
-from tests.host.crashing_day import day, states, submit
+from tests.host.crashing_day import crashing_world, states, submit
 from tests.job_builders import step
 from tests.shard.builders import JOB, add_executor, core_with, place, plan, report, started
 from tests.virtual_time import run_virtual
@@ -58,7 +58,7 @@
     """Guards against a crash counted for a start that arrived after the crash."""
 
     async def play() -> HallWorld:
-        world = await day(resets=False, lists_machines=False, executors_per_hall=1)
+        world = await crashing_world(resets=False, lists_machines=False, executors_per_hall=1)
         world.crash_executor("east-0:1")
         spec = await submit(world, step(estimate_s=1.0))
         await asyncio.sleep(10.0)
@@ -72,7 +72,7 @@
     """Nothing listens after a crash, so the task may start elsewhere at once."""
 
     async def play() -> HallWorld:
-        world = await day(executors_per_hall=2)
+        world = await crashing_world(executors_per_hall=2)
         world.executors["east-0:1"].alive = False
         spec = await submit(world, step(estimate_s=1.0))
         await asyncio.sleep(10.0)
