--- a/tests/host/test_repeated_moves.py
+++ b/tests/host/test_repeated_moves.py
@@ -18,7 +18,7 @@
 from tests.hall_world import HallWorld
 from tests.host.crashing_day import states, submit
 from tests.job_builders import step
-from tests.shard.builders import JOB, core_with, plan, report, started
+from tests.shard.builders import JOB, confirm_start, core_with, plan, report_ends
 from tests.virtual_time import run_virtual
 
 MAX_MOVES = 2
@@ -38,7 +38,7 @@
     now = 1.0
     while now < 60.0:
         for order in plan(core, now):
-            started(core, order, now)
+            confirm_start(core, order, now)
         for attempt in list(task.attempts):
             if attempt.stop_sent_at > 0:
                 core.close_attempt(attempt, now)
@@ -54,7 +54,7 @@
     core.on_report("e0", ExecutorReport(5.0, (row,), ()), asked=5.0, now=5.0)
     (attempt,) = core.find_task(name).attempts  # type: ignore[union-attr]
     assert attempt.recovered
-    report(core, "e0", EndedTask(1, name, 1, EndKind.DONE, ""), asked=5.2, now=5.2)
+    report_ends(core, "e0", EndedTask(1, name, 1, EndKind.DONE, ""), asked=5.2, now=5.2)
     assert attempt.task.done
     assert attempt.task.step.durations == []
 
--- a/tests/platform/test_advice_client.py
+++ b/tests/platform/test_advice_client.py
@@ -13,7 +13,7 @@
 from linkspan.shard.planning.advice import Advice
 from linkspan.shard.shard_job import ShardJob
 from tests.job_builders import step
-from tests.shard.builders import JOB, submitted
+from tests.shard.builders import JOB, submitted_job
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
 
     app = web.Application()
     app.router.add_post("/api/advise", answer)
-    run = new_run(ShardJob(submitted(step(1), step(1))), 2)
+    run = new_run(ShardJob(submitted_job(step(1), step(1))), 2)
     async with TestServer(app) as server, ClientSession() as session:
         client = AdviceClient(session, f"{server.host}:{server.port}")
         if expected is None:
--- a/tests/platform/test_start_times.py
+++ b/tests/platform/test_start_times.py
@@ -26,7 +26,7 @@
 from linkspan.shard.shard_job import ShardJob
 from tests.fuzz.builders import EXECUTOR
 from tests.job_builders import step
-from tests.shard.builders import submitted
+from tests.shard.builders import submitted_job
 from tests.standins.platform_http import ExecutorServer, serving
 
 INCARNATION = "i-1@1700000000123"
@@ -134,7 +134,7 @@
 
     app = web.Application()
     app.router.add_post("/api/advise", answer)
-    run = new_run(ShardJob(submitted(step(1))), 0)
+    run = new_run(ShardJob(submitted_job(step(1))), 0)
     async with TestServer(app) as server, aiohttp.ClientSession() as session:
         client = AdviceClient(session, f"{server.host}:{server.port}")
         advice = await client.advise(run.steps[0], (INCARNATION, "i-2@7"))
--- a/tests/shard/builders.py
+++ b/tests/shard/builders.py
@@ -41,7 +41,7 @@
     core.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     for index in range(executors):
         add_executor(core, f"e{index}")
-    core.add_job(submitted(*steps), 0.0)
+    core.add_job(submitted_job(*steps), 0.0)
     return core
 
 
@@ -52,14 +52,14 @@
     )
     core.list_executors([e.record for e in core.executors.values()] + [record], 0.0)
     core.executors[name].rostered = True
-    report(core, name, asked=0.0, now=0.01)
+    report_ends(core, name, asked=0.0, now=0.01)
 
 
-def submitted(*steps: StepSpec, job_id: str = JOB, accepted: float = 0.0) -> Submitted:
+def submitted_job(*steps: StepSpec, job_id: str = JOB, accepted: float = 0.0) -> Submitted:
     return Submitted(JobSpec(job_id, QUEUE.name, "text", steps), 0, accepted, "host")
 
 
-def report(core: ShardCore, name: str, *ended: EndedTask, asked: float, now: float) -> None:
+def report_ends(core: ShardCore, name: str, *ended: EndedTask, asked: float, now: float) -> None:
     """Apply a report that lists no running tasks."""
     core.on_report(name, ExecutorReport(now, (), ended), asked=asked, now=now)
 
@@ -71,14 +71,14 @@
     return [order for order in orders if isinstance(order, StartOrder)]
 
 
-def started(core: ShardCore, order: StartOrder, now: float) -> None:
+def confirm_start(core: ShardCore, order: StartOrder, now: float) -> None:
     """Apply an executor's answer that it has started a run."""
     core.on_started(order, StartAnswer(StartOutcome.STARTED, now), now)
 
 
-def place(core: ShardCore, executor: ExecutorState, **fields: object) -> Attempt:
+def place_running(core: ShardCore, executor: ExecutorState, **fields: object) -> Attempt:
     """Put a running task of a new step on an executor."""
-    job = ShardJob(submitted(step(1, **fields)), service="pool")
+    job = ShardJob(submitted_job(step(1, **fields)), service="pool")
     task = new_run(job, 0).steps[0].tasks[0]
     attempt = Attempt(task, len(executor.attempts) + 1, executor.executor_id, Phase.RUNNING, 0.0)
     task.attempts.append(attempt)
--- a/tests/shard/test_certain_crashes.py
+++ b/tests/shard/test_certain_crashes.py
@@ -24,7 +24,7 @@
 from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, plan, report, started
+from tests.shard.builders import JOB, add_executor, confirm_start, core_with, plan, report_ends
 
 REPLACED = "another incarnation answers"
 
@@ -43,7 +43,7 @@
     """Start a run of the task on an executor that reports just before."""
     if name not in core.executors:
         add_executor(core, name)
-    report(core, name, asked=began - 0.02, now=began - 0.01)
+    report_ends(core, name, asked=began - 0.02, now=began - 0.01)
     task = only_task(core)
     run = Attempt(task, task.next_run, name, Phase.STARTING, began)
     if answered:
@@ -114,7 +114,7 @@
     core = core_with(step(1, estimate_s=SHORT_S), executors=0)
     for name, at in (("x0@1", 1.0), ("x1@1", 5.0)):
         add_executor(core, name)
-        report(core, name, asked=at - 0.1, now=at - 0.09)
+        report_ends(core, name, asked=at - 0.1, now=at - 0.09)
         crash_executor(core, name, at, at + 0.05)
     for number, at in enumerate((12.0, 14.0)):
         run_on(core, f"e{number}@1", at)
@@ -185,7 +185,7 @@
     assert not history_after_crash_at_next_owner(core).identified_crashes[0].confirmed
     core = core_with(step(1), executors=1)
     (order,) = plan(core, 1.0)
-    started(core, order, 1.1)
+    confirm_start(core, order, 1.1)
     assert history_after_crash_at_next_owner(core).identified_crashes[0].confirmed
 
 
--- a/tests/shard/test_colocation.py
+++ b/tests/shard/test_colocation.py
@@ -22,7 +22,7 @@
 from linkspan.shard.messages import ExecutorReport, PaceOrder, RunningTask
 from linkspan.shard.shard_job import ShardJob
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, core_with, place, plan, started, submitted
+from tests.shard.builders import JOB, confirm_start, core_with, place_running, plan, submitted_job
 
 
 def set_latency(attempt: Attempt, pressure: float) -> None:
@@ -35,9 +35,9 @@
     random = Random(seed)
     core = core_with(step(1), executors=1)
     executor = core.executors["e0"]
-    serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
-    harmful = place(core, executor, best_effort=True, image="bad", cpu=3_000)
-    harmless = place(core, executor, best_effort=True, image="good", cpu=3_000)
+    serving = place_running(core, executor, standing=True, image="s", latency_target_ms=10.0)
+    harmful = place_running(core, executor, best_effort=True, image="bad", cpu=3_000)
+    harmless = place_running(core, executor, best_effort=True, image="good", cpu=3_000)
     interference = InterferenceEstimator()
     for second in range(120):
         harmful.usage = random.choice((0.0, 3_000.0))
@@ -58,8 +58,8 @@
 def _serving_with_neighbour() -> tuple[ShardCore, Attempt, Attempt]:
     core = core_with(step(1), executors=1)
     executor = core.executors["e0"]
-    serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
-    return core, serving, place(core, executor, best_effort=True, image="b", cpu=3_000)
+    serving = place_running(core, executor, standing=True, image="s", latency_target_ms=10.0)
+    return core, serving, place_running(core, executor, best_effort=True, image="b", cpu=3_000)
 
 
 def test_neighbours_are_paused_before_the_latency_limit_is_exceeded() -> None:
@@ -89,7 +89,7 @@
 
 def test_the_load_of_one_replica_predicts_that_of_another() -> None:
     core = core_with(step(1), executors=2)
-    job = ShardJob(submitted(step(2, standing=True, image="s", latency_target_ms=10.0)))
+    job = ShardJob(submitted_job(step(2, standing=True, image="s", latency_target_ms=10.0)))
     tasks = new_run(job, 0).steps[0].tasks
     attempts = []
     for task, executor in zip(tasks, core.executors.values(), strict=True):
@@ -106,7 +106,9 @@
 
 def test_a_rising_load_is_extrapolated() -> None:
     core = core_with(step(1), executors=1)
-    serving = place(core, core.executors["e0"], standing=True, image="s", latency_target_ms=10.0)
+    serving = place_running(
+        core, core.executors["e0"], standing=True, image="s", latency_target_ms=10.0
+    )
     interference = InterferenceEstimator()
     for tick in range(1, 9):
         set_latency(serving, 0.3 + 0.06 * tick)
@@ -118,9 +120,9 @@
 def test_the_most_urgent_neighbour_keeps_its_pace() -> None:
     core = core_with(step(1), executors=1)
     executor = core.executors["e0"]
-    serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
+    serving = place_running(core, executor, standing=True, image="s", latency_target_ms=10.0)
     urgent, overdue = (
-        place(core, executor, best_effort=True, image="b", cpu=3_000) for _ in range(2)
+        place_running(core, executor, best_effort=True, image="b", cpu=3_000) for _ in range(2)
     )
     urgent.task.step.run.job.objective_s = 100.0
     overdue.task.step.run.job.objective_s = 0.1
@@ -149,7 +151,7 @@
 def test_a_run_started_on_a_loaded_executor_is_slowed_at_once() -> None:
     core = core_with(step(1, standing=True, image="s", latency_target_ms=10.0), executors=1)
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     executor = core.executors["e0"]
     (serving,) = executor.latency_targeted()
     for tick in range(12):
@@ -160,7 +162,7 @@
     core.add_job(Submitted(spec, 0, 0.0, "host"), 0.0)
     # The task has waited so long that it starts although the executor has no capacity left.
     (order,) = plan(core, 6.0)
-    started(core, order, 6.1)
+    confirm_start(core, order, 6.1)
     (pace,) = core.orders
     assert isinstance(pace, PaceOrder)
     assert pace.percent < 50
@@ -176,8 +178,8 @@
     """
     core = core_with(step(1), executors=1)
     executor = core.executors["e0"]
-    serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
-    neighbour = place(core, executor, best_effort=True, image="b", cpu=3_000)
+    serving = place_running(core, executor, standing=True, image="s", latency_target_ms=10.0)
+    neighbour = place_running(core, executor, best_effort=True, image="b", cpu=3_000)
     neighbour.usage = 3_000.0
     interference = InterferenceEstimator()
     selector = EffectSelector()
--- a/tests/shard/test_core.py
+++ b/tests/shard/test_core.py
@@ -28,26 +28,34 @@
 from linkspan.shard.planning.placement import FAILED_EXECUTOR_AVOIDANCE_S
 from linkspan.shard.recovery.progress import encode_run
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, add_executor, core_with, plan, report, started, submitted
+from tests.shard.builders import (
+    JOB,
+    add_executor,
+    confirm_start,
+    core_with,
+    plan,
+    report_ends,
+    submitted_job,
+)
 
 
 def test_a_finished_job_is_not_added_again() -> None:
     """Older records of a job may be read after its end was written."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-    report(core, order.executor_id, end, asked=0.3, now=1.0)
+    report_ends(core, order.executor_id, end, asked=0.3, now=1.0)
     assert [f.job_id for f in core.finished] == [JOB]
     core.on_finished(JOB)
-    core.add_job(submitted(step(1)), 1.1)
+    core.add_job(submitted_job(step(1)), 1.1)
     assert plan(core, 1.2) == []
 
 
 def test_a_moved_job_is_not_added_again() -> None:
     core = core_with(step(1))
     core.remove_moved(JOB)
-    core.add_job(submitted(step(1)), 0.1)
+    core.add_job(submitted_job(step(1)), 0.1)
     assert plan(core, 0.2) == []
 
 
@@ -67,7 +75,7 @@
     """Leave a start unanswered and let its executor report without listing the run."""
     core.on_start_unanswered(order, at)
     assert plan(core, at + 0.01) == []
-    report(core, order.executor_id, asked=at + 0.02, now=at + 0.03)
+    report_ends(core, order.executor_id, asked=at + 0.02, now=at + 0.03)
 
 
 def test_an_unanswered_start_is_sent_again_as_the_same_run() -> None:
@@ -76,7 +84,7 @@
     (order,) = plan(core, 0.1)
     _leave_unanswered(core, order, 1.1)
     assert core.orders == [order]
-    started(core, order, 1.2)
+    confirm_start(core, order, 1.2)
     core.orders.clear()
     assert plan(core, 1.3) == []
 
@@ -93,9 +101,9 @@
     assert core.orders == [stop]
     core.orders.clear()
     core.on_stopped(stop, True, 9.4)
-    report(core, order.executor_id, asked=9.35, now=9.5)
+    report_ends(core, order.executor_id, asked=9.35, now=9.5)
     assert plan(core, 9.6) == [], "the poll was sent before the stop was taken"
-    report(core, order.executor_id, asked=9.45, now=9.7)
+    report_ends(core, order.executor_id, asked=9.45, now=9.7)
     (again,) = plan(core, 9.8)
     assert again.run == order.run + 1
 
@@ -126,9 +134,9 @@
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
     _leave_unanswered(core, order, 1.1)
-    started(core, order, 1.2)
+    confirm_start(core, order, 1.2)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-    report(core, order.executor_id, end, asked=1.5, now=1.6)
+    report_ends(core, order.executor_id, end, asked=1.5, now=1.6)
     run = core.jobs[JOB].runs[0]
     run.durable = run.version
     executor = core.executors[order.executor_id]
@@ -155,7 +163,7 @@
     row = RunningTask(order.task, order.run, "", 50, None)
     core.on_report(order.executor_id, ExecutorReport(1.2, (row,), ()), asked=1.2, now=1.21)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-    report(core, order.executor_id, end, asked=1.5, now=1.6)
+    report_ends(core, order.executor_id, end, asked=1.5, now=1.6)
     run = core.jobs[JOB].runs[0]
     run.durable = run.version
     assert core.executors[order.executor_id].advance_acknowledged(1.61)
@@ -164,9 +172,9 @@
 def test_ends_are_acknowledged_only_when_durable() -> None:
     core = core_with(step(2))
     first, second = plan(core, 0.1)
-    started(core, first, 0.2)
+    confirm_start(core, first, 0.2)
     end = EndedTask(1, first.task, first.run, EndKind.DONE, "")
-    report(core, first.executor_id, end, asked=0.3, now=0.9)
+    report_ends(core, first.executor_id, end, asked=0.3, now=0.9)
     executor = core.executors[first.executor_id]
     assert not executor.advance_acknowledged(0.9)
     run = core.jobs[JOB].runs[0]
@@ -179,17 +187,17 @@
 def test_a_failure_counted_by_the_previous_owner_is_not_counted_again() -> None:
     first = core_with(step(2))
     order = next(o for o in plan(first, 0.1) if o.task.index == 0)
-    started(first, order, 0.2)
+    confirm_start(first, order, 0.2)
     end = EndedTask(1, order.task, order.run, EndKind.FAILED, "")
-    report(first, order.executor_id, end, asked=0.3, now=0.5)
+    report_ends(first, order.executor_id, end, asked=0.3, now=0.5)
     from linkspan.shard.recovery.progress import encode_run
 
     value = encode_run(first.jobs[JOB].runs[0])
     second = ShardCore(0, Bounds())
     second.configure(first.configuration or Configuration(1))
     second.inherit([e.record for e in first.executors.values()], 20.0)
-    second.add_job(submitted(step(2)), 1.0, inherited=True, progress={0: value})
-    report(second, order.executor_id, end, asked=1.1, now=1.2)
+    second.add_job(submitted_job(step(2)), 1.0, inherited=True, progress={0: value})
+    report_ends(second, order.executor_id, end, asked=1.1, now=1.2)
     assert second.jobs[JOB].runs[0].steps[0].tasks[0].failures == 1
 
 
@@ -202,15 +210,15 @@
     ]
     core.inherit(records, 20.0)
     core.list_executors(records, 0.0)
-    core.add_job(submitted(step(1)), 0.0, inherited=True)
-    report(core, "e0", asked=0.0, now=0.1)
+    core.add_job(submitted_job(step(1)), 0.0, inherited=True)
+    report_ends(core, "e0", asked=0.0, now=0.1)
     return core
 
 
 def test_inherited_work_waits_for_every_executor() -> None:
     core = _core_with_one_of_two_inherited_executors_reported()
     assert plan(core, 0.2) == []
-    report(core, "e1", asked=0.2, now=0.3)
+    report_ends(core, "e1", asked=0.2, now=0.3)
     assert len(plan(core, 0.4)) == 1
 
 
@@ -226,10 +234,10 @@
     for attempt in range(QUEUE.max_attempts):
         now = float(attempt)
         (order,) = plan(core, now + 0.1)
-        started(core, order, now + 0.2)
+        confirm_start(core, order, now + 0.2)
         executor = core.executors[order.executor_id]
         end = EndedTask(executor.last_handled_end + 1, order.task, order.run, EndKind.FAILED, "")
-        report(core, order.executor_id, end, asked=now + 0.3, now=now + 0.4)
+        report_ends(core, order.executor_id, end, asked=now + 0.3, now=now + 0.4)
     assert [f.state.value for f in core.finished] == ["failed"]
     assert plan(core, 9.0) == []
 
@@ -239,9 +247,9 @@
     orders = plan(core, 0.1)
     assert {order.task.step for order in orders} == {0}
     for number, order in enumerate(orders):
-        started(core, order, 0.2)
+        confirm_start(core, order, 0.2)
         end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-        report(core, order.executor_id, end, asked=0.3 + number, now=0.4 + number)
+        report_ends(core, order.executor_id, end, asked=0.3 + number, now=0.4 + number)
         after = plan(core, 0.5 + number)
     assert [order.task for order in after] == [TaskName(JOB, 0, 1, 0)]
 
@@ -269,7 +277,7 @@
     """Return a core with a standing task, target 10 ms, that has reported a latency."""
     core = core_with(step(1, standing=True, image="s", latency_target_ms=10.0), executors=1)
     (serving,) = plan(core, 0.1)
-    started(core, serving, 0.2)
+    confirm_start(core, serving, 0.2)
     row = RunningTask(serving.task, serving.run, "", 100, latency_ms)
     core.on_report("e0", ExecutorReport(1.0, (row,), ()), asked=0.3, now=1.0)
     return core
@@ -302,13 +310,13 @@
     """The task prefers other executors, but one failure says little about an executor."""
     core = core_with(step(1, cpu=6_000), executors=2)
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     other = next(e for name, e in core.executors.items() if name != order.executor_id)
     full = StepSpec(1, Demand(7_000, 100), standing=True)
     core.add_job(Submitted(JobSpec("00000000000000bb", QUEUE.name, "t", (full,)), 0, 0, "h"), 0.3)
     assert [o.executor_id for o in plan(core, 0.3)] == [other.executor_id]
     end = EndedTask(1, order.task, order.run, EndKind.FAILED, "")
-    report(core, order.executor_id, end, asked=0.4, now=1.0)
+    report_ends(core, order.executor_id, end, asked=0.4, now=1.0)
     assert plan(core, 1.1) == []
     (again,) = plan(core, 1.1 + FAILED_EXECUTOR_AVOIDANCE_S)
     assert again.executor_id == order.executor_id
@@ -318,7 +326,7 @@
     """Reports on different connections may arrive out of order."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     end = EndedTask(1, order.task, order.run, EndKind.FAILED, "")
     core.on_report(order.executor_id, ExecutorReport(5.0, (), (end,)), asked=0.3, now=1.0)
     row = RunningTask(order.task, order.run, "", 50, None)
@@ -330,7 +338,7 @@
     core = core_with(step(3, speculative=True), step(1, depends_on=(0,)), executors=4)
     first, second, slow = plan(core, 0.1)
     for order in (first, second, slow):
-        started(core, order, 0.1)
+        confirm_start(core, order, 0.1)
     for number, order in enumerate((first, second), 1):
         end = EndedTask(number, order.task, order.run, EndKind.DONE, "")
         core.on_report(order.executor_id, ExecutorReport(1.1, (), (end,)), asked=1.0, now=1.1)
@@ -339,7 +347,7 @@
     assert copy.task == slow.task
     assert copy.executor_id != slow.executor_id
     assert plan(core, 3.0) == [], "one copy is enough"
-    started(core, copy, 1.9)
+    confirm_start(core, copy, 1.9)
     end = EndedTask(9, copy.task, copy.run, EndKind.DONE, "")
     core.on_report(copy.executor_id, ExecutorReport(2.9, (), (end,)), asked=2.8, now=2.9)
     stops = [order for order in core.orders if isinstance(order, StopOrder)]
@@ -351,7 +359,7 @@
     core = core_with(step(3), executors=4)
     orders = plan(core, 0.1)
     for number, order in enumerate(orders, 1):
-        started(core, order, 0.1)
+        confirm_start(core, order, 0.1)
         if number < 3:
             end = EndedTask(number, order.task, order.run, EndKind.DONE, "")
             core.on_report(order.executor_id, ExecutorReport(1.1, (), (end,)), asked=1.0, now=1.1)
@@ -366,14 +374,14 @@
     """
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     (run,) = core.jobs[JOB].runs.values()
     next_owner = ShardCore(0, Bounds())
     next_owner.configure(Configuration(1, {QUEUE.name: QUEUE}, {"pool": Service("pool")}))
     records = [e.record for e in core.executors.values()]
     next_owner.inherit(records, until=20.0)
     next_owner.list_executors(records, 1.0)
-    next_owner.add_job(submitted(step(1)), 1.0, inherited=True, progress={0: encode_run(run)})
+    next_owner.add_job(submitted_job(step(1)), 1.0, inherited=True, progress={0: encode_run(run)})
     end = EndedTask(2, order.task, order.run, EndKind.DONE, "")
     unread = EndedTask(1, TaskName("00000000000000bb", 0, 0, 0), 1, EndKind.DONE, "")
     whole = ExecutorReport(1.0, (), (unread, end))
@@ -396,7 +404,7 @@
     record = ExecutorRecord("e0", "pool", "e0:1", "east", Demand(8_000, 9_000), frozenset(), "r")
     next_owner.inherit([record], until=20.0)
     next_owner.list_executors([record], 1.0)
-    next_owner.add_job(submitted(step(1)), 1.0, inherited=True)
+    next_owner.add_job(submitted_job(step(1)), 1.0, inherited=True)
     partial = ExecutorReport(1.0, (), (), is_complete=False)
     next_owner.on_report("e0", partial, asked=1.0, now=1.1)
     assert plan(next_owner, 1.2) == []
--- a/tests/shard/test_crashes.py
+++ b/tests/shard/test_crashes.py
@@ -17,7 +17,15 @@
 from tests.hall_world import HallWorld
 from tests.host.crashing_day import crashing_world, states, submit
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, place, plan, report, started
+from tests.shard.builders import (
+    JOB,
+    add_executor,
+    confirm_start,
+    core_with,
+    place_running,
+    plan,
+    report_ends,
+)
 from tests.virtual_time import run_virtual
 
 
@@ -31,7 +39,7 @@
 
     core = core_with(step(1), step(1), executors=1, log=log)
     first, second = plan(core, 1.0)
-    started(core, first, 1.2)
+    confirm_start(core, first, 1.2)
     core.on_silent("e0", 3.0)
     core.on_incarnation_ended("e0", 4.0, "machine service no longer lists it")
     (line,) = lines
@@ -87,7 +95,7 @@
 def test_isolated_tasks_that_waited_long_still_start_apart() -> None:
     """An isolated task past its wait goes to an executor that runs no other isolated task."""
     core = core_with(step(2), executors=2)
-    place(core, core.executors["e1"], cpu=6_000)
+    place_running(core, core.executors["e1"], cpu=6_000)
     for task in core.jobs[JOB].runs[0].tasks():
         core.set_crash_history(task, CrashHistory(1, 4))
     (tried,) = plan(core, 1.0)
@@ -193,7 +201,7 @@
     """Guards against a job that never ends if the only sound executor is always full."""
     core = core_with(step(1, cpu=4_000))
     (task,) = core.jobs[JOB].runs[0].steps[0].tasks
-    place(core, core.executors["e0"], cpu=8_000, standing=True)
+    place_running(core, core.executors["e0"], cpu=8_000, standing=True)
     core.set_crash_history(task, CrashHistory(3, 7, 0, (Crash("e1", 1, 2, address="e1:1"),)))
     core.jobs[JOB].runs[0].durable = float("inf")
     assert plan(core, MAX_AT_LIMIT_WAIT_S - 0.1) == []
@@ -203,7 +211,7 @@
 
 def crash_under_task(core: ShardCore, task: Task, executor_id: str, began: float) -> None:
     """Let an executor that just reported crash right after a run of a task began."""
-    report(core, executor_id, asked=began - 0.02, now=began - 0.01)
+    report_ends(core, executor_id, asked=began - 0.02, now=began - 0.01)
     place_task(core, task, executor_id, began=began)
     core.on_silent(executor_id, began + 0.01)
     core.on_incarnation_ended(executor_id, began + 0.1, "another incarnation answers")
--- a/tests/shard/test_crashes_on_record.py
+++ b/tests/shard/test_crashes_on_record.py
@@ -18,7 +18,7 @@
 from linkspan.shard.handover._delegations import last_delegation_of
 from linkspan.shard.recovery.progress import encode_run, restore_run
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, submitted
+from tests.shard.builders import JOB, add_executor, core_with, submitted_job
 
 
 def recorded_progress(core: ShardCore) -> bytes:
@@ -28,7 +28,7 @@
 def next_owner_from(value: bytes) -> ShardCore:
     core = core_with(step(1))
     core.jobs.clear()
-    core.add_job(submitted(step(2)), 0.0, inherited=True, progress={0: value})
+    core.add_job(submitted_job(step(2)), 0.0, inherited=True, progress={0: value})
     return core
 
 
--- a/tests/shard/test_decisions_after_owner_change.py
+++ b/tests/shard/test_decisions_after_owner_change.py
@@ -24,7 +24,15 @@
 from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, add_executor, core_with, plan, report, started, submitted
+from tests.shard.builders import (
+    JOB,
+    add_executor,
+    confirm_start,
+    core_with,
+    plan,
+    report_ends,
+    submitted_job,
+)
 
 POOL = {"pool": Service("pool")}
 
@@ -43,7 +51,7 @@
     specs = [s.spec for s in run.steps]
     progress = {0: encode_run(run)}
     next_owner.add_job(
-        job or submitted(*specs), 30.0, inherited=True, begun=True, progress=progress
+        job or submitted_job(*specs), 30.0, inherited=True, begun=True, progress=progress
     )
     return next_owner
 
@@ -67,9 +75,9 @@
 
 def _fail_once(core: ShardCore) -> None:
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     end = EndedTask(1, order.task, order.run, EndKind.FAILED, "")
-    report(core, order.executor_id, end, asked=0.3, now=0.5)
+    report_ends(core, order.executor_id, end, asked=0.3, now=0.5)
 
 
 def _core_of(job: Submitted, configuration: Configuration) -> ShardCore:
@@ -112,7 +120,7 @@
 
 def _crash_under_task(core: ShardCore, executor_id: str, began: float) -> None:
     """Let an executor crash right after a run of the task began there."""
-    report(core, executor_id, asked=began - 0.02, now=began - 0.01)
+    report_ends(core, executor_id, asked=began - 0.02, now=began - 0.01)
     task = only_task(core)
     run = Attempt(task, task.next_run, executor_id, Phase.RUNNING, began, confirmed_at=began)
     task.next_run += 1
@@ -145,7 +153,7 @@
     core = core_with(step(1), executors=3)
     core.set_crash_history(only_task(core), CrashHistory(3, 6))
     for name in ("e0", "e1", "e2"):
-        report(core, name, asked=19.98, now=19.99)
+        report_ends(core, name, asked=19.98, now=19.99)
     for name in ("e1", "e2"):
         core.on_silent(name, 20.01)
         core.on_incarnation_ended(name, 20.05, REPLACED)
@@ -253,11 +261,15 @@
     next_owner.configure(unchanged_configuration())
     next_owner.inherit([e.record for e in core.executors.values()], 100.0)
     next_owner.add_job(
-        submitted(step(1)), 30.0, inherited=True, begun=True, progress={0: orjson.dumps([[row]])}
+        submitted_job(step(1)),
+        30.0,
+        inherited=True,
+        begun=True,
+        progress={0: orjson.dumps([[row]])},
     )
     task = only_task(next_owner)
     end = EndedTask(1, task.name, 2, EndKind.FAILED, "")
-    report(next_owner, "e0", end, asked=31.0, now=31.1)
+    report_ends(next_owner, "e0", end, asked=31.0, now=31.1)
     assert task.failures == 2
 
 
@@ -265,16 +277,16 @@
     """Guards against repeated work: the record does not hold which run saved the checkpoint."""
     core = core_with(step(1, checkpoints=True))
     (first,) = plan(core, 0.1)
-    started(core, first, 0.2)
+    confirm_start(core, first, 0.2)
     stopped = EndedTask(1, first.task, first.run, EndKind.STOPPED, "a fifth")
-    report(core, first.executor_id, stopped, asked=0.3, now=0.5)
+    report_ends(core, first.executor_id, stopped, asked=0.3, now=0.5)
     (second,) = plan(core, 0.6)
-    started(core, second, 0.7)
+    confirm_start(core, second, 0.7)
     saved = RunningTask(second.task, second.run, "one half", 50, None)
     core.on_report(second.executor_id, ExecutorReport(1.0, (saved,), ()), asked=0.9, now=1.0)
     next_owner = next_owner_of(core, unchanged_configuration())
     assert only_task(next_owner).checkpoint == "one half"
-    report(next_owner, first.executor_id, stopped, asked=31.0, now=31.1)
+    report_ends(next_owner, first.executor_id, stopped, asked=31.0, now=31.1)
     assert only_task(next_owner).checkpoint == "one half"
 
 
@@ -298,10 +310,10 @@
     core = core_with(step(2, gang=True))
     first, second = plan(core, 0.1)
     for order in (first, second):
-        started(core, order, 0.2)
+        confirm_start(core, order, 0.2)
     for number, order in enumerate((first, second), start=1):
         end = EndedTask(number, order.task, order.run, EndKind.FAILED, "")
-        report(core, order.executor_id, end, asked=0.3 * number, now=0.3 * number + 0.1)
+        report_ends(core, order.executor_id, end, asked=0.3 * number, now=0.3 * number + 0.1)
     run = core.jobs[JOB].runs[0]
     assert run.steps[0].failures == 1
     rows = orjson.loads(encode_run(run))
@@ -311,7 +323,7 @@
     earlier_rows = orjson.dumps([[row[:5] for row in rows[0]]])
     specs = [s.spec for s in run.steps]
     next_owner.add_job(
-        submitted(*specs), 30.0, inherited=True, begun=True, progress={0: earlier_rows}
+        submitted_job(*specs), 30.0, inherited=True, begun=True, progress={0: earlier_rows}
     )
     assert (sum(counts), next_owner.jobs[JOB].runs[0].steps[0].failures) == (1, 1)
 
@@ -328,7 +340,7 @@
     core.on_start_unanswered(order, 2.0)
     _report_nothing(core, "e0@1", 1, asked=2.1)
     (again,) = (o for o in core.orders if isinstance(o, StartOrder))
-    started(core, again, 2.2)
+    confirm_start(core, again, 2.2)
     done = EndedTask(1, order.task, order.run, EndKind.DONE, "")
     core.on_report("e0@1", ExecutorReport(2.3, (), (done,), started_at_ms=1), asked=2.3, now=2.3)
     record = core.executors["e0@1"].record
@@ -354,7 +366,7 @@
     core.on_start_unanswered(order, 2.0)
     _report_nothing(core, "e0@1", 1, asked=2.1)
     (again,) = (o for o in core.orders if isinstance(o, StartOrder))
-    started(core, again, 2.2)
+    confirm_start(core, again, 2.2)
     row = RunningTask(order.task, order.run, "", 0, None)
     core.on_report("e0@1", ExecutorReport(2.3, (row,), (), started_at_ms=1), asked=2.3, now=2.3)
     for started_at_ms in (2, 3, 4):
--- a/tests/shard/test_durations.py
+++ b/tests/shard/test_durations.py
@@ -15,7 +15,15 @@
 from linkspan.shard.planning.durations import DurationEstimator
 from linkspan.shard.planning.urgency import Timeliness, urgency
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, core_with, place, plan, report, started, submitted
+from tests.shard.builders import (
+    JOB,
+    confirm_start,
+    core_with,
+    place_running,
+    plan,
+    report_ends,
+    submitted_job,
+)
 
 OTHER = "00000000000000bb"
 GUESSES = st.floats(0.0, 60.0) | st.floats(0.0, 1e300)
@@ -78,9 +86,9 @@
 def test_ended_steps_are_learned_from_and_count_with_their_measured_duration() -> None:
     core = core_with(step(1, estimate_s=1.0), step(1, estimate_s=1.0, depends_on=(0,)))
     (order,) = plan(core, 0.1)
-    started(core, order, 0.1)
+    confirm_start(core, order, 0.1)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-    report(core, order.executor_id, end, asked=4.0, now=4.1)
+    report_ends(core, order.executor_id, end, asked=4.0, now=4.1)
     job = core.jobs[JOB]
     assert core.durations.learnt == 1
     assert round(job.measured_durations_s[0], 3) == 4.0
@@ -90,7 +98,7 @@
 
 def test_the_job_with_the_least_remaining_work_goes_first() -> None:
     core = core_with(step(4, cpu=2_000), executors=0)
-    core.add_job(submitted(step(2, cpu=2_000), job_id=OTHER), 0.0)
+    core.add_job(submitted_job(step(2, cpu=2_000), job_id=OTHER), 0.0)
     large, small = (core.jobs[name].runs[0] for name in (JOB, OTHER))
     assert urgency(small.steps[0], 0.1) < urgency(large.steps[0], 0.1)
     for task in large.steps[0].tasks[:3]:
@@ -102,7 +110,7 @@
 def test_jobs_that_cannot_be_in_time_are_ordered_by_age() -> None:
     """Guards against a job with much remaining work that smaller jobs overtake forever."""
     core = core_with(step(9, cpu=8_000), executors=0)
-    core.add_job(submitted(step(1), job_id=OTHER, accepted=5.0), 5.0)
+    core.add_job(submitted_job(step(1), job_id=OTHER, accepted=5.0), 5.0)
     old, new = (core.jobs[name].runs[0].steps[0] for name in (JOB, OTHER))
     assert urgency(new, 60.0).timeliness is Timeliness.NONE
     assert urgency(old, 60.0) < urgency(new, 60.0)
@@ -112,16 +120,16 @@
     """An objective counts work at full speed: pauses by the owner must not extend it."""
     core = core_with(step(1, estimate_s=1.0, best_effort=True, image="b"), executors=1)
     (order,) = plan(core, 0.1)
-    started(core, order, 0.1)
+    confirm_start(core, order, 0.1)
     executor = core.executors["e0"]
-    serving = place(core, executor, standing=True, image="s", latency_target_ms=10.0)
+    serving = place_running(core, executor, standing=True, image="s", latency_target_ms=10.0)
     pacer = Pacer(core, core.interference)
     for tick in range(1, 19):
         # The task is over its latency target, so the neighbouring run is paused after 2.4 s.
         serving.usage = 100.0
         pacer.on_report(executor, 0.5 * tick, 0.5 * tick)
     end = EndedTask(1, order.task, order.run, EndKind.DONE, "")
-    report(core, order.executor_id, end, asked=9.0, now=9.1)
+    report_ends(core, order.executor_id, end, asked=9.0, now=9.1)
     assert core.jobs[JOB].measured_durations_s[0] < 3.0
 
 
@@ -129,7 +137,7 @@
     """Half a second of the objective remains, and a tenth of a second of the work."""
     core = core_with(step(1, estimate_s=2.0))
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     running = core.jobs[JOB].runs[0].steps[0]
     late_s = core.jobs[JOB].objective_s - 0.5
     assert urgency(running, late_s).timeliness is not Timeliness.IN_TIME
@@ -140,8 +148,8 @@
 def test_a_half_finished_step_goes_before_less_work_that_is_not_started() -> None:
     core = core_with(step(4, cpu=1_000, estimate_s=2.0))
     for order in plan(core, 0.1):
-        started(core, order, 0.2)
-    core.add_job(submitted(step(3, cpu=1_000, estimate_s=2.0), job_id=OTHER), 0.3)
+        confirm_start(core, order, 0.2)
+    core.add_job(submitted_job(step(3, cpu=1_000, estimate_s=2.0), job_id=OTHER), 0.3)
     started_step, unstarted_step = (core.jobs[job].runs[0].steps[0] for job in (JOB, OTHER))
     assert urgency(started_step, 0.5).rank > urgency(unstarted_step, 0.5).rank
     for task in started_step.tasks:
--- a/tests/shard/test_failed_runs.py
+++ b/tests/shard/test_failed_runs.py
@@ -13,7 +13,7 @@
 from linkspan.shard.messages import EndedTask, EndKind, StartOrder
 from linkspan.shard.recovery.progress import encode_run
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, core_with, plan, report, started, submitted
+from tests.shard.builders import JOB, confirm_start, core_with, plan, report_ends, submitted_job
 
 LEASES_EXPIRED_AT_S = 60.0
 """Steady time by which all leases that were granted before have expired."""
@@ -25,7 +25,7 @@
 
 def first_start(core: ShardCore, now: float) -> StartOrder:
     order = plan(core, now)[0]
-    started(core, order, now + 0.1)
+    confirm_start(core, order, now + 0.1)
     return order
 
 
@@ -48,9 +48,9 @@
     """
     core = core_with(step(1))
     order = first_start(core, 0.1)
-    report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
+    report_ends(core, order.executor_id, failed(order), asked=0.3, now=0.5)
     disconnect_and_reconnect(core, order.executor_id)
-    report(
+    report_ends(
         core,
         order.executor_id,
         failed(order),
@@ -68,7 +68,7 @@
     run = core.jobs[JOB].runs[0]
     specs = [s.spec for s in run.steps]
     next_owner.add_job(
-        submitted(*specs), 1.0, inherited=True, progress={0: record or encode_run(run)}
+        submitted_job(*specs), 1.0, inherited=True, progress={0: record or encode_run(run)}
     )
     return next_owner
 
@@ -82,11 +82,11 @@
     core = core_with(step(2, gang=True))
     first, second = plan(core, 0.1)
     for order in (first, second):
-        started(core, order, 0.2)
-    report(core, first.executor_id, failed(first), asked=0.3, now=0.5)
+        confirm_start(core, order, 0.2)
+    report_ends(core, first.executor_id, failed(first), asked=0.3, now=0.5)
     next_owner = heir_of(core)
     ended = failed(second, 2 if second.executor_id == first.executor_id else 1)
-    report(next_owner, second.executor_id, ended, asked=1.1, now=1.2)
+    report_ends(next_owner, second.executor_id, ended, asked=1.1, now=1.2)
     assert next_owner.jobs[JOB].runs[0].steps[0].failures == 1
 
 
@@ -103,7 +103,7 @@
     core.on_silent(order.executor_id, LEASES_EXPIRED_AT_S)
     next_owner = heir_of(core)
     next_owner.list_executors(records, LEASES_EXPIRED_AT_S)
-    report(
+    report_ends(
         next_owner,
         order.executor_id,
         failed(order),
@@ -118,8 +118,8 @@
     core = core_with(step(1))
     order = first_start(core, 0.1)
     other = next(name for name in core.executors if name != order.executor_id)
-    report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
-    report(core, other, failed(order), asked=0.6, now=0.7)
+    report_ends(core, order.executor_id, failed(order), asked=0.3, now=0.5)
+    report_ends(core, other, failed(order), asked=0.6, now=0.7)
     assert core.jobs[JOB].runs[0].steps[0].tasks[0].failures == 2
 
 
@@ -127,24 +127,24 @@
     """Its row ends before the identified runs; a run below the next number is among its count."""
     core = core_with(step(1))
     order = first_start(core, 0.1)
-    report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
+    report_ends(core, order.executor_id, failed(order), asked=0.3, now=0.5)
     run = core.jobs[JOB].runs[0]
     rows = orjson.loads(encode_run(run))
     rows[0][0] = rows[0][0][:5]
     next_owner = heir_of(core, orjson.dumps(rows))
     task = next_owner.jobs[JOB].runs[0].steps[0].tasks[0]
     assert task.failures == 1
-    report(next_owner, order.executor_id, failed(order), asked=1.1, now=1.2)
+    report_ends(next_owner, order.executor_id, failed(order), asked=1.1, now=1.2)
     assert task.failures == 1
     again = EndedTask(2, order.task, order.run + 20, EndKind.FAILED, "")
-    report(next_owner, order.executor_id, again, asked=1.3, now=1.4)
+    report_ends(next_owner, order.executor_id, again, asked=1.3, now=1.4)
     assert task.failures == 2
 
 
 def test_an_earlier_version_reads_the_count_at_its_known_position() -> None:
     core = core_with(step(1))
     order = first_start(core, 0.1)
-    report(core, order.executor_id, failed(order), asked=0.3, now=0.5)
+    report_ends(core, order.executor_id, failed(order), asked=0.3, now=0.5)
     ((row,),) = orjson.loads(encode_run(core.jobs[JOB].runs[0]))
     next_run, failures, _checkpoint, _attempts, _delegation, *_more = row
     assert (next_run, failures) == (2, 1)
--- a/tests/shard/test_incarnations.py
+++ b/tests/shard/test_incarnations.py
@@ -38,7 +38,7 @@
 )
 from linkspan.shard.reports._watch import MAX_ACKNOWLEDGE_DELAY_S, acknowledgeable_end
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, plan, started, submitted
+from tests.shard.builders import JOB, add_executor, confirm_start, core_with, plan, submitted_job
 
 FIRST, SECOND, THIRD = (
     Incarnation("e0", started_at_ms).name for started_at_ms in (1_000, 900, 2_000)
@@ -101,7 +101,7 @@
     """A confirmed start reached an incarnation that the owner did not know yet."""
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.01)
+    confirm_start(core, order, 1.01)
     _report_next_incarnation(core, running=_running_rows())
     assert _replan(core, 2.1) == []
     assert list(core.executors) == [SECOND]
@@ -111,7 +111,7 @@
 def test_an_end_in_the_first_report_of_the_next_incarnation_counts() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.01)
+    confirm_start(core, order, 1.01)
     core.executors[FIRST].last_handled_end = 57
     _report_next_incarnation(core, ended=(EndedTask(1, TASK, 1, EndKind.DONE, ""),))
     assert [f.job_id for f in core.finished] == [JOB]
@@ -120,7 +120,7 @@
 def test_a_run_that_ended_with_the_previous_incarnation_starts_again_at_once() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.01)
+    confirm_start(core, order, 1.01)
     _report_next_incarnation(core)
     core.list_executors([core.executors[SECOND].record], 2.02)
     core.executors[SECOND].rostered = True
@@ -168,7 +168,7 @@
     """The report may have been made just before the order arrived."""
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 2.005)
+    confirm_start(core, order, 2.005)
     _report_next_incarnation(core)
     (attempt,) = core.executors[SECOND].attempts.values()
     assert attempt.phase is Phase.RUNNING
@@ -179,7 +179,7 @@
     core = _core()
     (order,) = plan(core, 1.0)
     _report_next_incarnation(core)
-    started(core, order, 2.02)
+    confirm_start(core, order, 2.02)
     (attempt,) = core.executors[SECOND].attempts.values()
     assert attempt.phase is Phase.RUNNING
 
@@ -307,7 +307,7 @@
     core.executors[SECOND].rostered = True
     _report(core, SECOND, SECOND, asked=3.05, now=3.06, clock_s=0.2)
     assert core.orders == [replace(order, executor_id=SECOND)]
-    started(core, replace(order, executor_id=SECOND), 3.1)
+    confirm_start(core, replace(order, executor_id=SECOND), 3.1)
     _report(core, SECOND, SECOND, asked=3.2, now=3.21, clock_s=0.3, running=_running_rows())
     core.orders.clear()
     assert _replan(core, 3.3) == []
@@ -324,7 +324,7 @@
     core.on_start_unanswered(order, 1.5)
     _report(core, FIRST, FIRST, asked=1.6, now=1.61, clock_s=1.0)
     core.orders.clear()
-    started(core, order, 1.7)
+    confirm_start(core, order, 1.7)
     _report(core, FIRST, FIRST, asked=1.8, now=1.81, clock_s=1.2, running=_running_rows())
     add_executor(core, "e1@5")
     _report(core, FIRST, SECOND, asked=6.0, now=6.01)
@@ -350,7 +350,7 @@
 def test_a_run_confirmed_before_the_machine_list_ended_with_its_incarnation() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.01)
+    confirm_start(core, order, 1.01)
     add_executor(core, "e1@5")
     _end_incarnation(core, since=2.0, now=2.5)
     assert len(_replan(core, 2.6)) == 1
@@ -359,7 +359,7 @@
 def test_a_run_confirmed_after_the_machine_list_may_be_at_the_next_incarnation() -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 2.1)
+    confirm_start(core, order, 2.1)
     add_executor(core, "e1@5")
     _end_incarnation(core, since=2.0, now=2.5)
     assert _replan(core, 2.6) == []
@@ -390,7 +390,7 @@
     """Guards against reports dropped silently while their runs are believed to continue."""
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.01)
+    confirm_start(core, order, 1.01)
     _report(core, FIRST, FIRST, asked=1.1, now=1.2, clock_s=100.0, running=_running_rows())
     _report(core, FIRST, FIRST, asked=1.3, now=1.4, clock_s=1.0)
     assert core.executors[FIRST].silent_since == 1.4
@@ -437,7 +437,7 @@
     next_owner.inherit(decode_roster(_encoded([row[:7] if old == "roster" else row])), until=20.0)
     incarnation = ["e0"] if old == "progress" else ["e0", 1_000]
     progress = {0: _encoded([[[2, 0, "", [[1, *incarnation]], 0]]])}
-    job = submitted(step(1), job_id=OTHER_JOB)
+    job = submitted_job(step(1), job_id=OTHER_JOB)
     next_owner.add_job(job, 1.0, inherited=True, begun=True, progress=progress)
     (task,) = next_owner.jobs[OTHER_JOB].runs[0].tasks()
     assert len(task.attempts) == 1
@@ -478,7 +478,7 @@
     next_owner = core_with(executors=0)
     next_owner.jobs.clear()
     next_owner.inherit(decode_roster(roster), until=20.0)
-    next_owner.add_job(submitted(step(1)), 3.0, inherited=True, begun=True, progress=progress)
+    next_owner.add_job(submitted_job(step(1)), 3.0, inherited=True, begun=True, progress=progress)
     (task,) = next_owner.jobs[JOB].runs[0].tasks()
     assert len(task.attempts) == 1
     next_owner.on_incarnation_ended("e0", 3.5, "machine service no longer lists it", since=3.2)
--- a/tests/shard/test_incomplete_reports.py
+++ b/tests/shard/test_incomplete_reports.py
@@ -19,7 +19,7 @@
     TaskName,
 )
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, core_with, plan, started, submitted
+from tests.shard.builders import JOB, confirm_start, core_with, plan, submitted_job
 from tests.shard.test_rebalance import EMPTY, FULL
 
 UNREAD = "00000000000000bb"
@@ -29,7 +29,7 @@
     """Guards against a task started again although the executor lists it as done."""
     core = core_with(step(1))
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     running = RunningTask(order.task, order.run, "", 50, None)
     core.on_report(order.executor_id, ExecutorReport(0.3, (running,), ()), asked=0.25, now=0.3)
     unread = EndedTask(1, TaskName(UNREAD, 0, 0, 0), 1, EndKind.DONE, "")
@@ -46,7 +46,7 @@
     record = ExecutorRecord("e0", "pool", "e0:1", "east", Demand(8_000, 9_000), frozenset(), "r")
     next_owner.inherit([record], until=20.0)
     next_owner.list_executors([record], 1.0)
-    next_owner.add_job(submitted(step(1), step(1, cpu=9_000)), 1.0, inherited=True)
+    next_owner.add_job(submitted_job(step(1), step(1, cpu=9_000)), 1.0, inherited=True)
     unread = EndedTask(1, TaskName(UNREAD, 0, 0, 0), 1, EndKind.DONE, "")
     done = EndedTask(2, TaskName(JOB, 0, 0, 0), 1, EndKind.DONE, "")
     whole = ExecutorReport(1.0, (), (unread, done))
--- a/tests/shard/test_inherited_leases.py
+++ b/tests/shard/test_inherited_leases.py
@@ -22,7 +22,7 @@
     TaskName,
 )
 from tests.job_builders import step
-from tests.shard.builders import JOB, core_with, plan, report, submitted
+from tests.shard.builders import JOB, core_with, plan, report_ends, submitted_job
 
 OTHER_JOB = "00000000000000bb"
 
@@ -39,7 +39,7 @@
     core.departed_jobs.clear()
     core.inherit([executor_record(name, cpu) for name in ("e0", "e1")], until=LEASES_EXPIRED_AT_S)
     core.list_executors([executor_record(name, cpu) for name in ("e0", "e1")], 0.0)
-    core.add_job(submitted(step(1)), 0.0, inherited=True)
+    core.add_job(submitted_job(step(1)), 0.0, inherited=True)
     return core
 
 
@@ -63,7 +63,7 @@
 
 def test_inherited_work_waits_while_an_executor_sends_partial_reports() -> None:
     core = recovered_core()
-    report(core, "e0", asked=1.0, now=1.0)
+    report_ends(core, "e0", asked=1.0, now=1.0)
     for second in range(1, 25):
         answer_partially(core, "e1", float(second))
     assert plan(core, 25.0) == []
@@ -79,7 +79,7 @@
 
 def test_a_job_does_not_move_while_an_executor_sends_partial_reports() -> None:
     core = recovered_core(cpu=500)
-    report(core, "e0", asked=1.0, now=1.0)
+    report_ends(core, "e0", asked=1.0, now=1.0)
     for second in range(1, 25):
         answer_partially(core, "e1", float(second))
     other_hall = HallSummary(
@@ -94,7 +94,7 @@
     listed: bool,
 ) -> None:
     core = recovered_core()
-    report(core, "e0", asked=1.0, now=1.0)
+    report_ends(core, "e0", asked=1.0, now=1.0)
     if not listed:
         core.list_executors([executor_record("e0", 8_000)], 2.0)
     core.on_silent("e1", 2.0)
@@ -105,7 +105,7 @@
 def test_inherited_work_also_waits_for_leases_that_the_new_owner_granted() -> None:
     """The executor sent one partial report, its lease was renewed, and it is silent since."""
     core = recovered_core()
-    report(core, "e0", asked=1.0, now=1.0)
+    report_ends(core, "e0", asked=1.0, now=1.0)
     answer_partially(core, "e1", 18.0)
     core.on_silent("e1", 18.5)
     assert plan(core, LEASES_EXPIRED_AT_S + 0.1) == []
--- a/tests/shard/test_previous_executor_at_address.py
+++ b/tests/shard/test_previous_executor_at_address.py
@@ -13,7 +13,15 @@
 from linkspan.shard.core import ShardCore
 from linkspan.shard.messages import ExecutorRecord
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, plan, report, started, submitted
+from tests.shard.builders import (
+    JOB,
+    add_executor,
+    confirm_start,
+    core_with,
+    plan,
+    report_ends,
+    submitted_job,
+)
 
 LEASES_EXPIRED_AT_S = 20.0
 """Steady time by which all leases of the previous owner have expired."""
@@ -31,8 +39,8 @@
     idle = core.executors["idle"].record
     core.inherit([record_at_shared_address("second")], until=LEASES_EXPIRED_AT_S)
     core.list_executors([idle, record_at_shared_address("first")], 0.0)
-    core.add_job(submitted(step(1)), 0.0, inherited=True)
-    report(core, "idle", asked=0.1, now=0.1)
+    core.add_job(submitted_job(step(1)), 0.0, inherited=True)
+    report_ends(core, "idle", asked=0.1, now=0.1)
     assert "second" in core.awaiting_report_ids
     assert plan(core, 0.2) == []
 
@@ -50,8 +58,8 @@
         [record_at_shared_address("first"), record_at_shared_address("second")], 0.1
     )
     core.executors["second"].rostered = True
-    report(core, "second", asked=0.2, now=0.2)
+    report_ends(core, "second", asked=0.2, now=0.2)
     (order,) = plan(core, 0.3)
     assert order.executor_id == "second"
-    started(core, order, 0.4)
+    confirm_start(core, order, 0.4)
     return core
--- a/tests/shard/test_rebalance.py
+++ b/tests/shard/test_rebalance.py
@@ -14,7 +14,7 @@
 from linkspan.shard.handover.summary import HallSummary
 from linkspan.shard.messages import EndedTask, EndKind, TaskName
 from tests.job_builders import step
-from tests.shard.builders import JOB, core_with, plan, report
+from tests.shard.builders import JOB, core_with, plan, report_ends
 
 EMPTY = HallSummary(
     capacity=40_000, free=40_000, free_by_executor=((20_000, 32_000), (20_000, 32_000))
@@ -120,7 +120,7 @@
     core = core_with(step(1), step(1, cpu=9_000))
     core.jobs[JOB].inherited = True
     end = EndedTask(1, TaskName(JOB, 0, 0, 0), 1, EndKind.DONE, "")
-    report(core, "e0", end, asked=0.1, now=0.1)
+    report_ends(core, "e0", end, asked=0.1, now=0.1)
     assert plan(core, 0.2) == []
     rebalancer = Rebalancer(core, summaries=lambda: {1: EMPTY}, count_capable=lambda *_: 2)
     assert rebalancer.plan(FULL, 0.3 + HANDOVER_WAIT_S) == []
--- a/tests/shard/test_refused_starts.py
+++ b/tests/shard/test_refused_starts.py
@@ -10,7 +10,7 @@
 from linkspan.shard.core import ShardCore
 from linkspan.shard.messages import StartAnswer, StartOrder, StartOutcome
 from tests.job_builders import step
-from tests.shard.builders import JOB, core_with, plan, started
+from tests.shard.builders import JOB, confirm_start, core_with, plan
 
 PLAN_INTERVAL_S = 0.03
 """Interval between the plans of a busy owner."""
@@ -55,7 +55,7 @@
     (first,) = plan(core, 1.0)
     refuse(core, first, 1.01)
     (second,) = plan(core, 1.07)
-    started(core, second, 1.08)
+    confirm_start(core, second, 1.08)
     (task,) = core.jobs[JOB].runs[0].tasks()
     assert task.refusals == 0, "an accepted start resets the count"
 
@@ -64,7 +64,7 @@
     core = core_with(step(4, speculative=True), executors=2)
     orders = plan(core, 1.0)
     for order in orders:
-        started(core, order, 1.0)
+        confirm_start(core, order, 1.0)
     (job,) = core.jobs.values()
     slow = job.runs[0].steps[0]
     slow.durations += [0.5, 0.5, 0.5]
--- a/tests/shard/test_retracted_crashes.py
+++ b/tests/shard/test_retracted_crashes.py
@@ -14,7 +14,7 @@
 from linkspan.shard.reports._crashes import GIVE_UP_DELAY_S
 from linkspan.shard.task import Task
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, plan, report, started
+from tests.shard.builders import JOB, add_executor, confirm_start, core_with, plan, report_ends
 
 REPLACED = "another incarnation answers"
 
@@ -47,7 +47,7 @@
 def start_on(core: ShardCore, name: str, now: float, *, answered: bool = True) -> int:
     """Add an executor, have the task started there and return the run's number."""
     add_executor(core, name)
-    report(core, name, asked=now - 0.02, now=now - 0.01)
+    report_ends(core, name, asked=now - 0.02, now=now - 0.01)
     set_all_durable(core)
     (order,) = plan(core, now)
     assert order.executor_id == name
@@ -55,7 +55,7 @@
     assert clock
     clock.grant(core.bounds.max_lease_s, now)
     if answered:
-        started(core, order, now)
+        confirm_start(core, order, now)
     return order.run
 
 
@@ -154,7 +154,7 @@
     core = core_with(step(1), step(1), executors=0)
     add_executor(core, "e0")
     first, second = plan(core, 10.0)
-    started(core, first, 10.0)
+    confirm_start(core, first, 10.0)
     core.on_start_unsent(second, 10.0)
     task = core.find_task(first.task)
     assert task
@@ -178,7 +178,7 @@
     add_executor(core, "e0")
     first, second = plan(core, 10.0)
     for order in (first, second):
-        started(core, order, 10.0)
+        confirm_start(core, order, 10.0)
     crash_executor(core, "e0", 10.8, 10.9)
     ended = EndedTask(1, first.task, first.run, EndKind.DONE, "")
     core.on_report("e0", ExecutorReport(10.7, (), (ended,)), asked=10.6, now=11.0)
--- a/tests/shard/test_starts_of_former_owners.py
+++ b/tests/shard/test_starts_of_former_owners.py
@@ -25,7 +25,7 @@
 from linkspan.shard.orders._orders import MAX_START_DELAY_S
 from linkspan.shard.recovery.progress import decode_roster, encode_roster, encode_run
 from tests.job_builders import step
-from tests.shard.builders import JOB, add_executor, core_with, plan, started, submitted
+from tests.shard.builders import JOB, add_executor, confirm_start, core_with, plan, submitted_job
 
 FIRST, SECOND = (Incarnation("e0", started_at_ms).name for started_at_ms in (1_000, 2_000))
 
@@ -80,7 +80,7 @@
     next_owner.inherit(decode_roster(roster), 20.0)
     for job_id, job in core.jobs.items():
         progress = {0: encode_run(job.runs[0])}
-        job_submitted = submitted(step(1), job_id=job_id)
+        job_submitted = submitted_job(step(1), job_id=job_id)
         next_owner.add_job(
             job_submitted, RECOVERED_AT, inherited=True, begun=True, progress=progress
         )
@@ -115,7 +115,7 @@
     core = _core()
     _leave_unanswered_and_resend(core)
     (order,) = _starts(core)
-    started(core, order, 2.2)
+    confirm_start(core, order, 2.2)
     for _ in range(owners):
         core = _next_owner_of(core)
     if listed:
@@ -142,7 +142,7 @@
 ) -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.1)
+    confirm_start(core, order, 1.1)
     next_owner = _next_owner_of(core)
     if listed:
         _report(next_owner, asked=3.1, listed=True)
@@ -156,7 +156,7 @@
     (order,) = plan(core, 1.0)
     core.dirty.clear()
     if by == "answer":
-        started(core, order, 1.1)
+        confirm_start(core, order, 1.1)
     else:
         core.on_start_unanswered(order, 2.0)
         _report(core, asked=2.1, listed=True)
@@ -177,7 +177,7 @@
     (order,) = plan(core, 1.0)
     run = core.jobs[JOB].runs[0]
     assert orjson.loads(encode_run(run))[0][0][3] == [[1, "e0", 1_000, 1]]
-    started(core, order, 1.1)
+    confirm_start(core, order, 1.1)
     assert orjson.loads(encode_run(run))[0][0][3] == [[1, "e0", 1_000]]
 
 
@@ -251,7 +251,7 @@
     """The same holds for records of earlier versions, which do not mark unanswered starts."""
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.1)
+    confirm_start(core, order, 1.1)
     next_owner = _next_owner_of(core)
     _report(next_owner, asked=3.1)
     assert (next_owner.orders, next_owner.executors[FIRST].attempts) == ([], {})
@@ -284,7 +284,7 @@
     """Have a core withhold the end of a job's only task."""
     _leave_unanswered_and_resend(core)
     (order,) = _starts(core)
-    started(core, order, 2.2)
+    confirm_start(core, order, 2.2)
     _report(core, DONE, asked=2.5)
     assert core.executors[FIRST].withheld_ends == {1}
     assert not _acknowledges(core, 2.6)
@@ -355,7 +355,7 @@
 def test_a_next_owner_does_not_withhold_an_end_that_is_on_record(kind: EndKind) -> None:
     core = _core()
     (order,) = plan(core, 1.0)
-    started(core, order, 1.1)
+    confirm_start(core, order, 1.1)
     end = DONE._replace(kind=kind)
     _report(core, end, asked=2.0)
     next_owner = _next_owner_of(core)
--- a/tests/shard/test_steps_that_fit_nowhere.py
+++ b/tests/shard/test_steps_that_fit_nowhere.py
@@ -14,7 +14,7 @@
 from linkspan.shard.planning.placement import StepPlacement
 from linkspan.shard.planning.planner import Planner
 from tests.job_builders import step
-from tests.shard.builders import core_with, place, plan, submitted
+from tests.shard.builders import core_with, place_running, plan, submitted_job
 
 EXECUTORS = 20
 STEPS = 30
@@ -44,10 +44,10 @@
     """Return a core with waiting steps of different sizes and executors without free capacity."""
     core = core_with(executors=EXECUTORS)
     for executor in core.executors.values():
-        place(core, executor, cpu=7_000, best_effort=best_effort)
+        place_running(core, executor, cpu=7_000, best_effort=best_effort)
     for number in range(STEPS):
         wide = step(3, cpu=4_000 + 10 * number, best_effort=best_effort, estimate_s=60.0)
-        core.add_job(submitted(wide, job_id=f"{number:016x}"), 0.0)
+        core.add_job(submitted_job(wide, job_id=f"{number:016x}"), 0.0)
     return core
 
 
@@ -71,7 +71,7 @@
     random = Random(seed)
     core = core_with(executors=EXECUTORS)
     for executor in core.executors.values():
-        place(
+        place_running(
             core, executor, cpu=random.randrange(0, 8_000, 500), best_effort=random.random() < 0.5
         )
     for number in range(STEPS):
@@ -83,7 +83,7 @@
             max_per_executor=max_per_executor,
             **kind,
         )
-        core.add_job(submitted(wide, job_id=f"{number:016x}"), 0.0)
+        core.add_job(submitted_job(wide, job_id=f"{number:016x}"), 0.0)
     return core
 
 
--- a/tests/shard/test_terms_on_record.py
+++ b/tests/shard/test_terms_on_record.py
@@ -22,7 +22,7 @@
 from linkspan.shard.messages import EndedTask, EndKind
 from linkspan.shard.recovery.progress import encode_run
 from tests.job_builders import QUEUE, step
-from tests.shard.builders import JOB, core_with, plan, report, started
+from tests.shard.builders import JOB, confirm_start, core_with, plan, report_ends
 
 POOL = {"pool": Service("pool")}
 SPEC = JobSpec(JOB, QUEUE.name, "text", (step(1),))
@@ -58,9 +58,9 @@
     other = Submitted(replace(SPEC, job_id="0b"), 0, 0.0, "host", QUEUE.terms)
     core.add_job(other, 0.0)
     (order,) = plan(core, 0.1)
-    started(core, order, 0.2)
+    confirm_start(core, order, 0.2)
     end = EndedTask(1, order.task, order.run, EndKind.FAILED, "")
-    report(core, order.executor_id, end, asked=0.3, now=0.5)
+    report_ends(core, order.executor_id, end, asked=0.3, now=0.5)
     assert not core.jobs["0b"].closing
 
 
--- a/tests/shard/test_undecodable_progress.py
+++ b/tests/shard/test_undecodable_progress.py
@@ -9,14 +9,14 @@
 from linkspan.shard.core import ShardCore
 from linkspan.shard.messages import ExecutorReport, RunningTask, TaskName
 from tests.job_builders import step
-from tests.shard.builders import JOB, core_with, plan, submitted
+from tests.shard.builders import JOB, core_with, plan, submitted_job
 
 UNDECODABLE = {0: b"["}
 
 
 def core_with_undecodable_progress(**delegations: object) -> ShardCore:
     core = core_with(step(1))
-    job = submitted(step(3, standing=True), job_id="0b")
+    job = submitted_job(step(3, standing=True), job_id="0b")
     with pytest.raises(RecordError):
         core.add_job(job, 1.0, inherited=True, progress=UNDECODABLE, **delegations)  # type: ignore[arg-type]
     return core
--- a/tests/shard/test_unknown_ends.py
+++ b/tests/shard/test_unknown_ends.py
@@ -8,7 +8,7 @@
 from linkspan.shard.messages import EndedTask, EndKind, TaskName
 from linkspan.shard.reports._ends import MAX_UNKNOWN_LINES_PER_S
 from tests.job_builders import step
-from tests.shard.builders import core_with, report
+from tests.shard.builders import core_with, report_ends
 
 
 @pytest.mark.parametrize("left", [False, True])
@@ -26,10 +26,10 @@
         EndedTask(n + 1, TaskName("bb", 0, 0, n), 1, EndKind.DONE, "")
         for n in range(MAX_UNKNOWN_LINES_PER_S + 5)
     ]
-    report(core, "e0", *ends, asked=5.0, now=5.1)
+    report_ends(core, "e0", *ends, asked=5.0, now=5.1)
     assert len(rows) == MAX_UNKNOWN_LINES_PER_S
     assert (rows[0]["executor"], rows[0]["job"], rows[0]["task"]) == ("e0", "bb", "0.0.0")
     assert (rows[0]["run"], rows[0]["how"], rows[0]["left"]) == (1, "done", left)
     late = EndedTask(99, TaskName("bb", 0, 0, 99), 1, EndKind.DONE, "")
-    report(core, "e0", late, asked=6.0, now=6.1)
+    report_ends(core, "e0", late, asked=6.0, now=6.1)
     assert rows[-1]["left_out"] == 5
