--- a/bench/paired.py
+++ b/bench/paired.py
@@ -31,7 +31,7 @@
 """Name of the figure over all kinds of requests, after prices are deducted."""
 
 
-class Play(NamedTuple):
+class Run(NamedTuple):
     """One day played on one tree with one seed."""
 
     tree: str
@@ -50,12 +50,12 @@
         broken: Rules broken and floors missed, or why there are no figures; else empty.
     """
 
-    play: Play
+    play: Run
     figures: dict[str, float]
     broken: str
 
     @classmethod
-    def of_report(cls, play: Play, report: dict[str, Any]) -> Row:
+    def of_report(cls, play: Run, report: dict[str, Any]) -> Row:
         """Build the row from a report of the bench."""
         figures = {WHOLE: float(report["G"])}
         figures |= {row["name"]: float(row["worth"]) for row in report["classes"]}
@@ -73,7 +73,7 @@
     def decode(cls, line: bytes) -> Row:
         """Decode a row from a line of JSON."""
         fields = orjson.loads(line)
-        return cls(Play(*fields["play"]), fields["figures"], fields["broken"])
+        return cls(Run(*fields["play"]), fields["figures"], fields["broken"])
 
 
 class Difference(NamedTuple):
@@ -99,7 +99,7 @@
 
     Example:
         >>> def row(tree, seed, worth):
-        ...     return Row(Play(tree, "s", "d", seed), {"whole": worth}, "")
+        ...     return Row(Run(tree, "s", "d", seed), {"whole": worth}, "")
         >>> rows = [row("a", 1, 0.5), row("b", 1, 0.75), row("a", 2, 0.5), row("b", 2, 0.5)]
         >>> differences(rows, "a", "b")[0]
         Difference(name='whole', before=0.5, mean=0.125, error=0.125, pairs=2)
@@ -132,7 +132,7 @@
     return [Row.decode(line) for line in path.read_bytes().splitlines()]
 
 
-async def _play(bench: str, play: Play, *, why: str, charge_cpu: bool) -> Row:
+async def _play(bench: str, play: Run, *, why: str, charge_cpu: bool) -> Row:
     with TemporaryDirectory(dir=Path(play.tree).parent) as folder:
         report = Path(folder) / "report.json"
         options = ["--seed", str(play.seed), "--report", str(report), "--why", why]
@@ -148,11 +148,11 @@
 
 
 async def _play_all(
-    bench: str, plays: list[Play], rows: Path, *, jobs: int, why: str, charge_cpu: bool
+    bench: str, plays: list[Run], rows: Path, *, jobs: int, why: str, charge_cpu: bool
 ) -> None:
     slots = asyncio.Semaphore(jobs)
 
-    async def play_one(play: Play) -> None:
+    async def play_one(play: Run) -> None:
         async with slots:
             row = await _play(bench, play, why=why, charge_cpu=charge_cpu)
         with rows.open("ab") as file:
@@ -161,12 +161,12 @@
     await asyncio.gather(*(play_one(play) for play in plays))
 
 
-def _plays(trees: Iterable[str], sites: str, days: str, seeds: Iterable[int]) -> Iterator[Play]:
+def _plays(trees: Iterable[str], sites: str, days: str, seeds: Iterable[int]) -> Iterator[Run]:
     for seed in seeds:
         for site in sites.split(","):
             for day in days.split(","):
                 for tree in trees:
-                    yield Play(tree, site, day, seed)
+                    yield Run(tree, site, day, seed)
 
 
 def table(rows: list[Row], before: str, after: str) -> str:
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -235,7 +235,7 @@
     return sorted(map(json.loads, claim_lines), key=lambda fields: int(fields["token"]))
 
 
-def tell(counts: list[Count]) -> int:
+def print_summary(counts: list[Count]) -> int:
     """Print the counts and a one-line summary; return the exit code."""
     print()
     for count in counts:
@@ -259,7 +259,7 @@
         await world.await_ready(MAX_START_S)
         print(f"{PLAN.hosts} hosts and {PLAN.executors} executors in {PLAN.halls} halls are up")
         demo = Demo(world, folder)
-        code = tell(await demo.play())
+        code = print_summary(await demo.play())
         if keep:
             try:
                 await demo.keep()
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -21,8 +21,8 @@
 
 from soak.deployment import Plan
 from soak.regressions import REGRESSIONS
+from soak.results import write_result
 from soak.run import Outcome, Run
-from soak.verdicts import write_verdict
 
 LOGS = "target/soak"
 """Default folder for logs."""
@@ -38,7 +38,7 @@
     shutil.rmtree(folder, ignore_errors=True)
     outcome = await Run(plan, folder).play()
     print(outcome, flush=True)
-    write_verdict(folder, outcome)
+    write_result(folder, outcome)
     for line in outcome.violations[:MAX_LINES]:
         print(f"  {line}")
     if outcome.violations:
@@ -77,7 +77,7 @@
 
 def _play_seeds(seeds: Iterable[int], seconds: float, jobs: int, keep_logs: str) -> None:
     seeds = list(seeds)
-    broken = asyncio.run(play_all(seeds, seconds, jobs, keep_logs))
+    broken = asyncio.run(run_all(seeds, seconds, jobs, keep_logs))
     kept = len(seeds) - len(broken)
     print(f"{len(seeds)} seeds, {seconds:g} s each, {jobs} at a time: {kept} kept all")
     if broken:
@@ -85,7 +85,7 @@
     sys.exit(1 if broken else 0)
 
 
-async def play_all(seeds: list[int], seconds: float, jobs: int, keep_logs: str) -> list[int]:
+async def run_all(seeds: list[int], seconds: float, jobs: int, keep_logs: str) -> list[int]:
     """Play seeds, several at a time, and return those with a violation."""
     free = asyncio.Semaphore(jobs)
 
--- a/soak/verdicts.py
+++ b/soak/results.py
@@ -19,7 +19,7 @@
 """Maximum number of lines of each file in a report: enough for the outcome and all faults."""
 
 
-def write_verdict(folder: Path, outcome: Outcome) -> None:
+def write_result(folder: Path, outcome: Outcome) -> None:
     """Write the outcome of a run with all violations."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / VERDICT_FILE).write_text("\n".join([str(outcome), *outcome.violations]) + "\n")
--- a/tests/bench/test_paired.py
+++ b/tests/bench/test_paired.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 import pytest
-from bench.paired import WHOLE, Play, Row, differences, read_rows, table
+from bench.paired import WHOLE, Row, Run, differences, read_rows, table
 
 
 def _row(tree: str, seed: int, worth: float, *, broken: str = "", **kinds: float) -> Row:
-    return Row(Play(tree, "site", "day", seed), {WHOLE: worth, **kinds}, broken)
+    return Row(Run(tree, "site", "day", seed), {WHOLE: worth, **kinds}, broken)
 
 
 def test_rows_round_trip_through_a_file(tmp_path: Path) -> None:
@@ -32,7 +32,7 @@
 
 
 def test_a_run_without_figures_is_listed_but_not_compared() -> None:
-    failed = Row(Play("b", "site", "day", 1), {}, "not played, exit 2")
+    failed = Row(Run("b", "site", "day", 1), {}, "not played, exit 2")
     rows = [_row("a", 1, 0.5), failed, _row("a", 2, 0.5), _row("b", 2, 0.7)]
     assert [d.pairs for d in differences(rows, "a", "b")] == [1]
     assert "not played, exit 2" in table(rows, "a", "b")
@@ -40,6 +40,6 @@
 
 def test_the_row_of_a_report_names_its_broken_rules() -> None:
     report = {"G": 0.5, "classes": [{"name": "short", "worth": 0.25}], "breaks": {"TWICE": 2}}
-    row = Row.of_report(Play("a", "site", "day", 1), report | {"fault": None, "short": ["floor"]})
+    row = Row.of_report(Run("a", "site", "day", 1), report | {"fault": None, "short": ["floor"]})
     assert row.figures == {WHOLE: 0.5, "short": 0.25}
     assert row.broken == "TWICE 2, short: floor"
--- a/tests/soak/test_demo.py
+++ b/tests/soak/test_demo.py
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize(("number", "wanted", "code"), [(3, 3, 0), (2, 3, 1), (4, 3, 1)])
 def test_a_count_that_is_not_met_decides_the_exit_code(number: int, wanted: int, code: int) -> None:
-    assert demo.tell([demo.Count("a", 1, 1), demo.Count("b", number, wanted)]) == code
+    assert demo.print_summary([demo.Count("a", 1, 1), demo.Count("b", number, wanted)]) == code
 
 
 async def test_kept_demo_serves_until_it_is_stopped(tmp_path: Path) -> None:
--- a/tests/soak/test_verdicts.py
+++ b/tests/soak/test_results.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 from soak.deployment import Plan
+from soak.results import FAULTS_FILE, keep_failed_runs, write_result
 from soak.run import Outcome
-from soak.verdicts import FAULTS_FILE, keep_failed_runs, write_verdict
 
 
 def test_a_run_with_violations_leaves_its_result_and_logs(tmp_path: Path) -> None:
     runs, kept = tmp_path / "played", tmp_path / "kept"
     violations = [f"LOST job {number}" for number in range(30)]
-    write_verdict(runs / "seed-7", Outcome(Plan.of_seed(7, 20.0), violations=violations))
+    write_result(runs / "seed-7", Outcome(Plan.of_seed(7, 20.0), violations=violations))
     (runs / "seed-7" / FAULTS_FILE).write_text("12.50 kill host-1\n")
     (runs / "seed-7" / "host-1.log").write_text("{}\n")
     report = keep_failed_runs([7, 9], runs, kept)
