--- a/bench/_fit.py
+++ b/bench/_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Fit(NamedTuple):
-    """A line ``start + slope * x`` and its worst relative error at the points."""
+    """A line ``start + slope * x`` and its largest relative error at the points."""
 
     start: float
     slope: float
     error: float
 
     def at(self, x: float) -> float:
-        """Return the line's value at ``x``."""
+        """Return the value of the line at ``x``."""
         return self.start + self.slope * x
 
 
--- a/bench/_troubles.py
+++ b/bench/_troubles.py
@@ -1,4 +1,4 @@
-"""Kinds of trouble that a day on the users' bench may have."""
+"""Kinds of faults and planned work for days on the users' bench."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     "machines-down": 'kind = "cloud_down", for_s = 8.0, how = "silent"',
     "machines-slow": 'kind = "cloud_slow", for_s = 8.0, x = 100.0',
 }
-"""Fields of each trouble as ``fleetbench kinds`` lists them, stronger than the sites'."""
+"""Fields of each kind as listed by ``fleetbench kinds``, stronger than in the sites' days."""
 
 PLANNED = frozenset(
     (
@@ -89,7 +89,7 @@
         "hup",
     )
 )
-"""Troubles that are planned work."""
+"""Kinds that are planned work and not faults."""
 
 ONCE = frozenset(("add",))
-"""Troubles that come once a day."""
+"""Kinds that occur only once a day."""
--- a/bench/repeatable.py
+++ b/bench/repeatable.py
@@ -1,4 +1,4 @@
-"""Figures that repeat: bytes of what is sent and kept."""
+"""Measures figures that are the same in every run: sizes of messages and records."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def target_document() -> dict[str, Any]:
-    """Return a configuration of the target's size."""
+    """Return a configuration document of the target size."""
     quota = {"milli_cpu": 400_000, "memory_mb": 1_600_000, "accelerators": 8}
     document: dict[str, Any] = {f"quotas/team-{n}": quota for n in range(TEAMS)}
     document |= {f"services/service-{n}": {"customer": "borne-breizh"} for n in range(60)}
@@ -80,7 +80,7 @@
 
 
 def repeatable() -> dict[str, float]:
-    """Return the figures that are the same in every run."""
+    """Return the figures by name, as written into docs/CAPACITY.md."""
     snapshots = {
         tasks: sum(len(part.body) for part in snapshot_parts(running_hall(tasks // 12 + 1, tasks)))
         for tasks in (2_000, 8_000)
